--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -151,21 +151,21 @@
     fn release_deposed(&mut self, cluster: &Name, leader: &Name) {
         let mut waiting: Vec<WorkId> = self
             .owner
-            .works
+            .requests
             .iter()
-            .filter(|(_, work)| work.pin.is_none() && !work.request.read)
-            .filter(|(_, work)| work.request.database != *leader)
-            .filter(|(_, work)| {
-                let service = self.owner.services.get(&work.request.database);
+            .filter(|(_, request)| request.pin.is_none() && !request.routed.read)
+            .filter(|(_, request)| request.routed.database != *leader)
+            .filter(|(_, request)| {
+                let service = self.owner.services.get(&request.routed.database);
                 service.is_some_and(|service| service.cluster == *cluster)
             })
-            .filter(|(_, work)| work.connection.is_none() && !work.is_acknowledging())
+            .filter(|(_, request)| request.connection.is_none() && !request.is_acknowledging())
             .map(|(id, _)| *id)
             .collect();
         waiting.sort();
         for id in waiting {
             let reason = crate::work::DeclineReason::NotLeader { leader: Some(leader.clone()) };
-            self.decline_work(id, reason);
+            self.decline_owner_request(id, reason);
         }
     }
 
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -77,7 +77,7 @@
             self.end_by_force();
         }
         let done = self.sessions.is_empty()
-            && self.owner.works.is_empty()
+            && self.owner.requests.is_empty()
             && self.owner.pins.is_empty()
             && self.entry.calls.is_empty();
         if done || overdue {
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -154,7 +154,7 @@
         request.cancelled = true;
         match request.attempt.as_ref().map(|attempt| attempt.path) {
             None => self.steps.push_back(Step::Route(id)),
-            Some(AttemptPath::Local(work)) => self.cancel_work(work),
+            Some(AttemptPath::Local(work)) => self.cancel_owner_request(work),
             Some(AttemptPath::Remote(call)) => self.emit(NodeAction::CancelForward { call }),
         }
     }
@@ -162,7 +162,7 @@
     /// The session is gone: whatever comes of the attempt is not wanted.
     pub(crate) fn abandon_attempt(&mut self, attempt: &EntryAttempt) {
         match attempt.path {
-            AttemptPath::Local(work) => self.abandon_work(work),
+            AttemptPath::Local(work) => self.abandon_owner_request(work),
             AttemptPath::Remote(call) => {
                 self.entry.calls.remove(&call);
                 self.emit(NodeAction::CancelForward { call });
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -8,7 +8,7 @@
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
-use crate::owner::{PinKey, WorkOrigin};
+use crate::owner::{PinKey, RequestOrigin};
 use crate::session::Session;
 use crate::timer::TimerKey;
 use crate::work::WorkRequest;
@@ -151,7 +151,7 @@
         let (owner, path) = match target {
             RouteTarget::Own => {
                 let pin = in_transaction.then_some(PinKey::Session(id));
-                let work = self.admit_work(WorkOrigin::Session(id), None, pin, *work);
+                let work = self.admit_owner_request(RequestOrigin::Session(id), None, pin, *work);
                 (self.settings.name.clone(), AttemptPath::Local(work))
             }
             RouteTarget::Peer(to) => {
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -11,7 +11,7 @@
 use crate::action::{NodeAction, RelayMode};
 use crate::frames::{quote_text, simple_query, statement_hash};
 use crate::id::RunId;
-use crate::owner::WorkStage;
+use crate::owner::RequestStage;
 use crate::work::{DeclineReason, ErrorReply, RunSummary, TransactionState, WorkReply};
 
 const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS cicadawick_requests (request_key text, \
@@ -63,8 +63,8 @@
 impl Node {
     /// Starts with the key, after making the table if this term has not seen it yet.
     pub(crate) fn start_keyed(&mut self, id: WorkId, connection: ConnectionId) {
-        let Some(work) = self.owner.works.get(&id) else { return };
-        let ready = self.key_table_ready(&work.request.database, work.term);
+        let Some(request) = self.owner.requests.get(&id) else { return };
+        let ready = self.key_table_ready(&request.routed.database, request.term);
         match ready {
             true => self.insert_key(id, connection),
             false => self.key_run(id, connection, KeyStep::CreateTable, CREATE_TABLE),
@@ -72,15 +72,15 @@
     }
 
     fn key_run(&mut self, id: WorkId, connection: ConnectionId, step: KeyStep, text: &str) {
-        if let Some(work) = self.owner.works.get_mut(&id) {
-            work.key = Some(step);
+        if let Some(request) = self.owner.requests.get_mut(&id) {
+            request.key = Some(step);
         }
         self.send_run(id, connection, simple_query(text), RelayMode::Collect);
     }
 
     fn insert_key(&mut self, id: WorkId, connection: ConnectionId) {
-        let Some(work) = self.owner.works.get(&id) else { return };
-        let begin = if work.pin.is_some() { "" } else { "BEGIN; " };
+        let Some(request) = self.owner.requests.get(&id) else { return };
+        let begin = if request.pin.is_some() { "" } else { "BEGIN; " };
         let (key, caller, hash) = self.key_values(id);
         let text = format!(
             "{begin}INSERT INTO cicadawick_requests (request_key, caller, statement_hash) \
@@ -91,20 +91,20 @@
 
     /// Key and caller as SQL constants, and the hash of the statement.
     fn key_values(&self, id: WorkId) -> (String, String, String) {
-        let Some(work) = self.owner.works.get(&id) else { return Default::default() };
-        let key = work.request.request_key.as_deref().unwrap_or_default();
-        (quote_text(key), quote_text(&work.request.user), statement_hash(&work.request.request))
+        let Some(request) = self.owner.requests.get(&id) else { return Default::default() };
+        let key = request.routed.request_key.as_deref().unwrap_or_default();
+        (quote_text(key), quote_text(&request.routed.user), statement_hash(&request.routed.request))
     }
 
     fn run_statement(&mut self, id: WorkId, connection: ConnectionId) {
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        work.key = Some(KeyStep::Statement);
-        let Some(target) = work.target() else { return };
-        let mode = match work.pin {
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        request.key = Some(KeyStep::Statement);
+        let Some(target) = request.target() else { return };
+        let mode = match request.pin {
             Some(_) => RelayMode::Stream(target),
             None => RelayMode::Hold(target),
         };
-        let frames = work.request.request.frames.clone();
+        let frames = request.routed.request.frames.clone();
         self.send_run(id, connection, frames, mode);
     }
 
@@ -115,7 +115,7 @@
         statement: RunId,
         summary: &RunSummary,
     ) {
-        let pinned = self.owner.works.get(&id).is_some_and(|work| work.pin.is_some());
+        let pinned = self.owner.requests.get(&id).is_some_and(|request| request.pin.is_some());
         let (key, caller, _) = self.key_values(id);
         let tag = quote_text(summary.command_tag.as_deref().unwrap_or_default());
         let commit = if pinned { "" } else { "; COMMIT" };
@@ -148,16 +148,16 @@
         run: RunId,
         summary: RunSummary,
     ) {
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        let pinned = work.pin.is_some();
-        let (database, term) = (work.request.database.clone(), work.term);
-        let Some(step) = work.key.take() else { return };
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        let pinned = request.pin.is_some();
+        let (database, term) = (request.routed.database.clone(), request.term);
+        let Some(step) = request.key.take() else { return };
         let code = summary.error.as_ref().map(|error| error.code.to_string());
         let state = summary.transaction;
         match (step, summary.error.clone()) {
             (KeyStep::CreateTable, Some(error)) if &*error.code == READ_ONLY => {
                 self.end_keyed(id, connection, state);
-                self.decline_work(id, DeclineReason::NotLeader { leader: None });
+                self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
             }
             (KeyStep::CreateTable, _) => {
                 // Two owners that make the table at once: one fails, and the table is there. If it is
@@ -188,14 +188,14 @@
             (KeyStep::Statement, None) => self.record_outcome(id, connection, run, &summary),
             (KeyStep::Statement, Some(_)) if pinned => {
                 self.end_keyed(id, connection, state);
-                self.finish_work(id, state, None);
+                self.complete_owner_request(id, state, None);
             }
             (KeyStep::Statement, Some(_)) => {
                 self.roll_back_key(id, connection, AfterRollBack::Relay(run));
             }
             (KeyStep::Record { transaction, .. }, None) if pinned => {
                 self.end_keyed(id, connection, state);
-                self.finish_work(id, transaction, None);
+                self.complete_owner_request(id, transaction, None);
             }
             (KeyStep::Record { statement, .. }, None) => {
                 self.end_keyed(id, connection, state);
@@ -227,12 +227,12 @@
             AfterRollBack::Relay(run) => {
                 self.end_keyed(id, connection, state);
                 self.emit(NodeAction::Relay { run });
-                self.finish_work(id, state, None);
+                self.complete_owner_request(id, state, None);
             }
             AfterRollBack::Fail(error) => self.reply_keyed_error(id, connection, state, error),
             AfterRollBack::Decline => {
                 self.end_keyed(id, connection, state);
-                self.decline_work(id, DeclineReason::NotLeader { leader: None });
+                self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
             }
         }
     }
@@ -243,10 +243,10 @@
             [outcome, recorded] if recorded.as_deref() == Some(hash.as_str()) => {
                 let tag = outcome.clone().unwrap_or_else(|| "OK".to_string());
                 self.end_keyed(id, connection, summary.transaction);
-                let Some(work) = self.owner.works.get_mut(&id) else { return };
-                work.key = Some(KeyStep::Recorded { tag });
+                let Some(request) = self.owner.requests.get_mut(&id) else { return };
+                request.key = Some(KeyStep::Recorded { tag });
                 let (caller, rank, term) =
-                    (work.request.caller.clone(), work.request.rank, work.term);
+                    (request.routed.caller.clone(), request.routed.rank, request.term);
                 self.accounts.count(self.now, &caller, rank, CallerMeasure::RepeatedKeys, 1);
                 self.count("keys.repeated", 1);
                 // The first run may never have been acknowledged, so its repeat has to be.
@@ -264,8 +264,8 @@
 
     /// Gives slot and connection back after the last run.
     fn end_keyed(&mut self, id: WorkId, connection: ConnectionId, state: TransactionState) {
-        if let Some(work) = self.owner.works.get_mut(&id) {
-            work.key = None;
+        if let Some(request) = self.owner.requests.get_mut(&id) {
+            request.key = None;
         }
         self.settle_connection(id, connection, state);
         self.release_slot(id);
@@ -285,17 +285,17 @@
             transaction: state,
             floor: None,
         };
-        self.reply_work(id, reply);
+        self.reply_owner_request(id, reply);
     }
 
     /// The statement's run whose held answer nobody will decide on any more.
     pub(crate) fn held_statement(&self, id: WorkId) -> Option<RunId> {
-        let work = self.owner.works.get(&id)?;
-        if !matches!(work.stage, WorkStage::Running { .. }) {
+        let request = self.owner.requests.get(&id)?;
+        if !matches!(request.stage, RequestStage::Running { .. }) {
             return None;
         }
-        match &work.key {
-            Some(KeyStep::Record { statement, .. }) if work.pin.is_none() => Some(*statement),
+        match &request.key {
+            Some(KeyStep::Record { statement, .. }) if request.pin.is_none() => Some(*statement),
             Some(KeyStep::RollBack { then: AfterRollBack::Relay(run) }) => Some(*run),
             _ => None,
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -204,7 +204,7 @@
             }
             NodeEvent::ForwardCancelled { call } => {
                 if let Some(work) = self.owner.calls.get(&call).copied() {
-                    self.cancel_work(work);
+                    self.cancel_owner_request(work);
                 }
             }
             NodeEvent::LaneDropped { lane } => {
@@ -253,7 +253,7 @@
             }
             match key {
                 TimerKey::Session(session) => self.session_due(session),
-                TimerKey::Work(work) => self.work_due(work),
+                TimerKey::OwnerRequest(id) => self.owner_request_due(id),
             }
         }
         if self.housekeeping <= now {
@@ -275,7 +275,9 @@
                 .get(&session)
                 .and_then(|session| session.request.as_ref())
                 .and_then(|request| request.due),
-            TimerKey::Work(work) => self.owner.works.get(&work).and_then(|work| work.due),
+            TimerKey::OwnerRequest(id) => {
+                self.owner.requests.get(&id).and_then(|request| request.due)
+            }
         };
         current == Some(due)
     }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -150,7 +150,7 @@
                 true => open += 1,
                 false => opening += 1,
             }
-            busy += u32::from(backend.work.is_some());
+            busy += u32::from(backend.request.is_some());
         }
         let waits = RankMap(Rank::ALL.map(|rank| service.queue.expected_wait(now, rank)));
         json!({
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -40,11 +40,11 @@
 
 /// Who waits for the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WorkOrigin {
+pub(crate) enum RequestOrigin {
     Session(SessionId),
     Call(CallId),
     /// Nobody any more.
-    Gone,
+    Abandoned,
 }
 
 /// Whose transaction a connection is pinned for.
@@ -64,13 +64,13 @@
     /// The peer whose session it is.
     pub peer: Option<Name>,
     /// The statement in progress.
-    pub work: Option<WorkId>,
+    pub request: Option<WorkId>,
 }
 
 #[derive(Debug)]
-pub(crate) enum WorkStage {
+pub(crate) enum RequestStage {
     /// Waits for a confirmed round, for a floor or for news of the primary.
-    Round,
+    WaitingForRound,
     /// Waits until another transaction ends.
     Deferred,
     /// Waits for a slot.
@@ -88,14 +88,14 @@
 
 /// A request at its owner.
 #[derive(Debug)]
-pub(crate) struct OwnerWork {
-    pub origin: WorkOrigin,
+pub(crate) struct OwnerRequest {
+    pub origin: RequestOrigin,
     pub peer: Option<Name>,
-    pub request: WorkRequest,
+    pub routed: WorkRequest,
     pub arrived: Micros,
     pub deadline: Micros,
     pub due: Option<Micros>,
-    pub stage: WorkStage,
+    pub stage: RequestStage,
     pub pin: Option<PinKey>,
     pub granted_at: Option<Micros>,
     pub connection: Option<ConnectionId>,
@@ -113,21 +113,21 @@
     pub key: Option<KeyStep>,
 }
 
-impl OwnerWork {
+impl OwnerRequest {
     /// Opens a transaction, as far as its class tells.
     pub(crate) fn begins(&self) -> bool {
-        self.pin.is_none() && !self.request.read && !self.request.commits
+        self.pin.is_none() && !self.routed.read && !self.routed.commits
     }
 
     pub(crate) fn is_acknowledging(&self) -> bool {
-        matches!(self.stage, WorkStage::Acknowledging { .. })
+        matches!(self.stage, RequestStage::Acknowledging { .. })
     }
 
     pub(crate) fn target(&self) -> Option<AnswerTarget> {
         match self.origin {
-            WorkOrigin::Session(session) => Some(AnswerTarget::Session(session)),
-            WorkOrigin::Call(call) => Some(AnswerTarget::Call(call)),
-            WorkOrigin::Gone => None,
+            RequestOrigin::Session(session) => Some(AnswerTarget::Session(session)),
+            RequestOrigin::Call(call) => Some(AnswerTarget::Call(call)),
+            RequestOrigin::Abandoned => None,
         }
     }
 }
@@ -139,7 +139,7 @@
     pub open: bool,
     /// When the node asked for it.
     pub asked: Micros,
-    pub work: Option<WorkId>,
+    pub request: Option<WorkId>,
     pub pin: Option<PinKey>,
 }
 
@@ -173,10 +173,10 @@
 #[derive(Debug, Default)]
 pub(crate) struct OwnerState {
     pub services: FastMap<Name, DatabaseService>,
-    pub works: FastMap<WorkId, OwnerWork>,
+    pub requests: FastMap<WorkId, OwnerRequest>,
     pub calls: FastMap<CallId, WorkId>,
     pub runs: FastMap<RunId, WorkId>,
-    pub commits: FastMap<CommitId, CommitUse>,
+    pub commits: FastMap<CommitId, CommitPurpose>,
     pub connections: FastMap<ConnectionId, BackendConnection>,
     pub pins: FastMap<PinKey, TransactionPin>,
     pub next_connection: u64,
@@ -184,8 +184,8 @@
 
 /// What an acknowledgement is for.
 #[derive(Debug)]
-pub(crate) enum CommitUse {
-    Work(WorkId),
+pub(crate) enum CommitPurpose {
+    OwnerRequest(WorkId),
     /// Work of a database that waits for a confirmed round.
     Round(Vec<WorkId>),
 }
@@ -295,16 +295,19 @@
         service.pool.reconfigure(PoolConfig { limit, keep: 0, idle_timeout: Micros::ZERO });
         let unsent: Vec<WorkId> = self
             .owner
-            .works
+            .requests
             .iter()
-            .filter(|(_, work)| work.request.database == *database && work.pin.is_none())
-            .filter(|(_, work)| {
-                !matches!(work.stage, WorkStage::Running { .. } | WorkStage::Acknowledging { .. })
+            .filter(|(_, request)| request.routed.database == *database && request.pin.is_none())
+            .filter(|(_, request)| {
+                !matches!(
+                    request.stage,
+                    RequestStage::Running { .. } | RequestStage::Acknowledging { .. }
+                )
             })
             .map(|(id, _)| *id)
             .collect();
         for id in unsent {
-            self.decline_work(id, DeclineReason::Unavailable);
+            self.decline_owner_request(id, DeclineReason::Unavailable);
         }
         self.steps.push_back(Step::Pump(database.clone()));
     }
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -4,37 +4,37 @@
 use model::{Micros, Name, Term};
 use stats::CallerMeasure;
 
-use super::{OwnerWork, PinKey, WorkOrigin, WorkStage};
+use super::{OwnerRequest, PinKey, RequestOrigin, RequestStage};
 use crate::Node;
-use crate::proof::Evidence;
+use crate::proof::ProofCheck;
 use crate::step::Step;
 use crate::timer::TimerKey;
 use crate::work::{DeclineReason, WorkRequest};
 
 impl Node {
     /// Takes a request on. The reply follows as a step or an action, perhaps at once.
-    pub(crate) fn admit_work(
+    pub(crate) fn admit_owner_request(
         &mut self,
-        origin: WorkOrigin,
+        origin: RequestOrigin,
         peer: Option<Name>,
         pin: Option<PinKey>,
-        request: WorkRequest,
+        routed: WorkRequest,
     ) -> WorkId {
         let id = WorkId(self.next_id());
-        if let WorkOrigin::Call(call) = origin {
+        if let RequestOrigin::Call(call) = origin {
             self.owner.calls.insert(call, id);
         }
         if let Some(pin) = pin.and_then(|pin| self.owner.pins.get_mut(&pin)) {
-            pin.work = Some(id);
+            pin.request = Some(id);
         }
-        let work = OwnerWork {
+        let request = OwnerRequest {
             origin,
             peer,
             arrived: self.now,
-            deadline: self.now + request.time_left,
-            request,
+            deadline: self.now + routed.time_left,
+            routed,
             due: None,
-            stage: WorkStage::Round,
+            stage: RequestStage::WaitingForRound,
             pin,
             granted_at: None,
             connection: None,
@@ -47,80 +47,80 @@
             relayed: false,
             key: None,
         };
-        self.owner.works.insert(id, work);
-        if self.drain.is_draining() && pin.is_none() && matches!(origin, WorkOrigin::Call(_)) {
-            self.decline_work(id, DeclineReason::Leaving);
+        self.owner.requests.insert(id, request);
+        if self.drain.is_draining() && pin.is_none() && matches!(origin, RequestOrigin::Call(_)) {
+            self.decline_owner_request(id, DeclineReason::Leaving);
         } else {
-            self.check_work(id);
+            self.check_owner_request(id);
         }
         id
     }
 
     /// Checks leadership and proofs of work that arrived or that waited for a round.
-    pub(crate) fn check_work(&mut self, id: WorkId) {
-        match self.check_evidence(id) {
-            Evidence::Ready => self.enqueue_work(id),
-            Evidence::WaitRound => self.wait_round(id),
-            Evidence::Decline(reason) => self.decline_work(id, reason),
-            Evidence::RollBack(message) => self.roll_back_work(id, message),
+    pub(crate) fn check_owner_request(&mut self, id: WorkId) {
+        match self.check_proof(id) {
+            ProofCheck::Ready => self.enqueue_owner_request(id),
+            ProofCheck::WaitForRound => self.wait_round(id),
+            ProofCheck::Decline(reason) => self.decline_owner_request(id, reason),
+            ProofCheck::RollBack(message) => self.roll_back_owner_request(id, message),
         }
     }
 
-    fn enqueue_work(&mut self, id: WorkId) {
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        let Some(service) = self.owner.services.get_mut(&work.request.database) else { return };
-        if work.begins() && !service.begins.contains(&id) {
+    fn enqueue_owner_request(&mut self, id: WorkId) {
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        let Some(service) = self.owner.services.get_mut(&request.routed.database) else { return };
+        if request.begins() && !service.begins.contains(&id) {
             if service.pins.len() + service.begins.len() >= service.transaction_limit {
-                let rank = work.request.rank;
+                let rank = request.routed.rank;
                 if service.deferred.len() >= service.deferred_limit {
                     let limit = u32::try_from(service.deferred_limit).unwrap_or(u32::MAX);
-                    return self.decline_work(id, DeclineReason::QueueFull { limit });
+                    return self.decline_owner_request(id, DeclineReason::QueueFull { limit });
                 }
-                work.stage = WorkStage::Deferred;
+                request.stage = RequestStage::Deferred;
                 service.deferred.insert((rank, id));
-                let deadline = work.deadline;
-                return self.arm_work(id, Some(deadline));
+                let deadline = request.deadline;
+                return self.arm_owner_request(id, Some(deadline));
             }
             service.begins.insert(id);
         }
         let ticket = WorkTicket {
             work: id,
-            rank: work.request.rank,
-            caller: work.request.caller.clone(),
-            deadline: work.deadline,
-            selector: work.request.selector.clone(),
-            in_transaction: work.pin.is_some(),
+            rank: request.routed.rank,
+            caller: request.routed.caller.clone(),
+            deadline: request.deadline,
+            selector: request.routed.selector.clone(),
+            in_transaction: request.pin.is_some(),
         };
         match service.queue.enqueue(self.now, ticket) {
             Ok(()) => {
-                work.stage = WorkStage::Queued;
-                let database = work.request.database.clone();
-                self.arm_work(id, None);
+                request.stage = RequestStage::Queued;
+                let database = request.routed.database.clone();
+                self.arm_owner_request(id, None);
                 self.steps.push_back(Step::Pump(database));
             }
             Err(reason) => {
-                work.stage = WorkStage::Round;
-                self.refuse_work(id, reason);
+                request.stage = RequestStage::WaitingForRound;
+                self.refuse_owner_request(id, reason);
             }
         }
     }
 
-    fn refuse_work(&mut self, id: WorkId, reason: RefusalReason) {
+    fn refuse_owner_request(&mut self, id: WorkId, reason: RefusalReason) {
         let reason = match reason {
             RefusalReason::QueueFull { limit } => DeclineReason::QueueFull { limit },
             RefusalReason::DeadlineUnreachable { expected } => DeclineReason::Deadline { expected },
             RefusalReason::DeadlinePassed => DeclineReason::Deadline { expected: Micros::ZERO },
         };
-        self.decline_work(id, reason);
+        self.decline_owner_request(id, reason);
     }
 
     /// Sets the timer of work.
-    pub(crate) fn arm_work(&mut self, id: WorkId, due: Option<Micros>) {
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        if work.due != due {
-            work.due = due;
+    pub(crate) fn arm_owner_request(&mut self, id: WorkId, due: Option<Micros>) {
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        if request.due != due {
+            request.due = due;
             if let Some(due) = due {
-                self.timers.add(due, TimerKey::Work(id));
+                self.timers.add(due, TimerKey::OwnerRequest(id));
             }
         }
     }
@@ -130,9 +130,9 @@
         let now = self.now;
         let Some(service) = self.owner.services.get_mut(database) else { return };
         for (id, reason) in service.queue.expire(now) {
-            if let Some(work) = self.owner.works.get_mut(&id) {
-                work.stage = WorkStage::Round;
-                self.refuse_work(id, reason);
+            if let Some(request) = self.owner.requests.get_mut(&id) {
+                request.stage = RequestStage::WaitingForRound;
+                self.refuse_owner_request(id, reason);
             }
         }
         self.resume_deferred(database);
@@ -146,7 +146,7 @@
                 break;
             };
             service.wanting.pop_front();
-            self.dispatch_work(id, connection);
+            self.dispatch_owner_request(id, connection);
         }
         self.decline_without_pool(database);
         if let Some(service) = self.owner.services.get_mut(database)
@@ -164,7 +164,7 @@
                 break;
             }
             let Some((_, id)) = service.deferred.pop_first() else { break };
-            self.check_work(id);
+            self.check_owner_request(id);
         }
     }
 
@@ -173,22 +173,22 @@
         let now = self.now;
         while let Some(service) = self.owner.services.get_mut(database) {
             let Some(grant) = service.queue.grant(now) else { break };
-            let Some(work) = self.owner.works.get_mut(&grant.work) else {
+            let Some(request) = self.owner.requests.get_mut(&grant.work) else {
                 service.queue.finish(now, grant.work);
                 continue;
             };
-            work.granted_at = Some(now);
-            work.stage = WorkStage::Granted;
-            let pin = work.pin.and_then(|pin| self.owner.pins.get(&pin));
-            match (work.pin, pin.map(|pin| pin.connection)) {
+            request.granted_at = Some(now);
+            request.stage = RequestStage::Granted;
+            let pin = request.pin.and_then(|pin| self.owner.pins.get(&pin));
+            match (request.pin, pin.map(|pin| pin.connection)) {
                 (None, _) => {
                     service.wanting.push_back(grant.work);
-                    let deadline = work.deadline;
-                    self.arm_work(grant.work, Some(deadline));
+                    let deadline = request.deadline;
+                    self.arm_owner_request(grant.work, Some(deadline));
                 }
-                (Some(_), Some(connection)) => self.dispatch_work(grant.work, connection),
+                (Some(_), Some(connection)) => self.dispatch_owner_request(grant.work, connection),
                 (Some(_), None) => {
-                    self.roll_back_work(grant.work, "its connection was lost".to_string());
+                    self.roll_back_owner_request(grant.work, "its connection was lost".to_string());
                 }
             }
         }
@@ -203,20 +203,20 @@
             return;
         }
         for id in service.wanting.clone() {
-            self.decline_work(id, DeclineReason::Unavailable);
+            self.decline_owner_request(id, DeclineReason::Unavailable);
         }
     }
 
     /// Gives the slot back.
     pub(crate) fn release_slot(&mut self, id: WorkId) {
         let now = self.now;
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        let Some(granted_at) = work.granted_at.take() else { return };
-        let request = &work.request;
-        let Some(service) = self.owner.services.get_mut(&request.database) else { return };
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        let Some(granted_at) = request.granted_at.take() else { return };
+        let routed = &request.routed;
+        let Some(service) = self.owner.services.get_mut(&routed.database) else { return };
         service.queue.finish(now, id);
         let used = now.saturating_sub(granted_at);
-        self.accounts.count(now, &request.caller, request.rank, CallerMeasure::SlotTime, used.0);
-        self.steps.push_back(Step::Pump(request.database.clone()));
+        self.accounts.count(now, &routed.caller, routed.rank, CallerMeasure::SlotTime, used.0);
+        self.steps.push_back(Step::Pump(routed.database.clone()));
     }
 }
--- a/crates/node/src/owner/pin.rs
+++ b/crates/node/src/owner/pin.rs
@@ -22,10 +22,10 @@
     pub(crate) fn close_pin(&mut self, key: PinKey, message: &str) {
         let Some(pin) = self.forget_pin(key) else { return };
         self.count("transactions.dropped", 1);
-        if let Some(id) = pin.work
-            && self.owner.works.get(&id).is_some_and(|work| work.pin == Some(key))
+        if let Some(id) = pin.request
+            && self.owner.requests.get(&id).is_some_and(|request| request.pin == Some(key))
         {
-            self.work_lost(id, message);
+            self.owner_request_lost(id, message);
         }
         self.close_connection(pin.connection);
     }
@@ -33,16 +33,16 @@
     /// A peer died: its transactions roll back and its queued work is dropped.
     pub(crate) fn release_peer(&mut self, peer: &Name) {
         let from_peer = |other: &Option<Name>| other.as_ref() == Some(peer);
-        let mut works: Vec<WorkId> = self
+        let mut requests: Vec<WorkId> = self
             .owner
-            .works
+            .requests
             .iter()
-            .filter(|(_, work)| from_peer(&work.peer))
+            .filter(|(_, request)| from_peer(&request.peer))
             .map(|(id, _)| *id)
             .collect();
-        works.sort();
-        for id in works {
-            self.abandon_work(id);
+        requests.sort();
+        for id in requests {
+            self.abandon_owner_request(id);
         }
         let pins: Vec<PinKey> = self
             .owner
@@ -58,7 +58,7 @@
 
     /// The lane that the work's connection is pinned for.
     pub(super) fn lane_of(&self, id: WorkId) -> Option<LaneId> {
-        let key = self.owner.works.get(&id)?.pin?;
+        let key = self.owner.requests.get(&id)?.pin?;
         match key {
             PinKey::Lane(lane) if self.owner.pins.contains_key(&key) => Some(lane),
             _ => None,
--- a/crates/node/src/owner/pool.rs
+++ b/crates/node/src/owner/pool.rs
@@ -22,7 +22,7 @@
                             database: database.clone(),
                             open: false,
                             asked: self.now,
-                            work: None,
+                            request: None,
                             pin: None,
                         },
                     );
@@ -65,8 +65,8 @@
         if let Some(key) = backend.pin {
             self.forget_pin(key);
         }
-        if let Some(id) = backend.work {
-            self.work_lost(id, message);
+        if let Some(id) = backend.request {
+            self.owner_request_lost(id, message);
         }
         if !backend.open {
             let text = format!("failed to connect to database {database}: {message}");
@@ -116,7 +116,7 @@
             let unused = self.owner.services.get(&name).is_some_and(|service| {
                 !service.owned
                     && service.is_unused()
-                    && !self.owner.works.values().any(|work| work.request.database == name)
+                    && !self.owner.requests.values().any(|request| request.routed.database == name)
                     && !self.owner.connections.values().any(|backend| backend.database == name)
             });
             if unused {
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -6,7 +6,7 @@
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::RunId;
-use crate::owner::{CommitUse, OwnerWork, WorkOrigin, WorkStage};
+use crate::owner::{CommitPurpose, OwnerRequest, RequestOrigin, RequestStage};
 use crate::work::{DeclineReason, WorkReply};
 use admit::WorkId;
 
@@ -20,9 +20,9 @@
 
 /// Whether work may be sent.
 #[derive(Debug)]
-pub(crate) enum Evidence {
+pub(crate) enum ProofCheck {
     Ready,
-    WaitRound,
+    WaitForRound,
     Decline(DeclineReason),
     RollBack(String),
 }
@@ -39,78 +39,78 @@
 
 impl Node {
     /// Tells whether the work may be sent now, and keeps the proof.
-    pub(crate) fn check_evidence(&mut self, id: WorkId) -> Evidence {
+    pub(crate) fn check_proof(&mut self, id: WorkId) -> ProofCheck {
         let now = self.now;
-        let Some(work) = self.owner.works.get_mut(&id) else {
-            return Evidence::Decline(DeclineReason::Unavailable);
+        let Some(request) = self.owner.requests.get_mut(&id) else {
+            return ProofCheck::Decline(DeclineReason::Unavailable);
         };
-        let database = work.request.database.clone();
+        let database = request.routed.database.clone();
         let Some(service) = self.owner.services.get(&database) else {
-            if work.pin.is_some() {
-                return Evidence::RollBack("the database is gone".to_string());
+            if request.pin.is_some() {
+                return ProofCheck::RollBack("the database is gone".to_string());
             }
-            return Evidence::Decline(not_owner(&self.fleet, &self.members, &database));
+            return ProofCheck::Decline(not_owner(&self.fleet, &self.members, &database));
         };
         let watch = self.clusters.get(&service.cluster).map(|cluster| &cluster.watch);
         let view = watch.map(|watch| watch.view(now));
-        if let Some(key) = work.pin {
+        if let Some(key) = request.pin {
             let Some(pin) = self.owner.pins.get(&key) else {
-                return Evidence::RollBack("its connection was lost".to_string());
+                return ProofCheck::RollBack("its connection was lost".to_string());
             };
-            work.term = pin.term;
+            request.term = pin.term;
             let term = view.map(|view| view.term);
-            if work.request.commits && term != Some(pin.term) {
-                return Evidence::RollBack("the primary was replaced".to_string());
+            if request.routed.commits && term != Some(pin.term) {
+                return ProofCheck::RollBack("the primary was replaced".to_string());
             }
-            return Evidence::Ready;
+            return ProofCheck::Ready;
         }
         if !service.owned {
-            return Evidence::Decline(not_owner(&self.fleet, &self.members, &database));
+            return ProofCheck::Decline(not_owner(&self.fleet, &self.members, &database));
         }
         let (Some(watch), Some(view)) = (watch, view) else {
-            return Evidence::Decline(DeclineReason::Unavailable);
+            return ProofCheck::Decline(DeclineReason::Unavailable);
         };
         let leads = view.leader.as_ref() == Some(&database);
-        let served = leads && service.is_draining(now) && !work.begins();
+        let served = leads && service.is_draining(now) && !request.begins();
         if service.config.leaving && !served {
-            return Evidence::Decline(DeclineReason::Unavailable);
+            return ProofCheck::Decline(DeclineReason::Unavailable);
         }
-        work.term = view.term;
+        request.term = view.term;
         let confirmed = view.confirmed_ago.is_some_and(|ago| ago <= LEADERSHIP_AGE);
-        if !work.request.read || work.request.max_age.is_none() {
+        if !request.routed.read || request.routed.max_age.is_none() {
             if !leads {
-                return Evidence::Decline(DeclineReason::NotLeader { leader: view.leader });
+                return ProofCheck::Decline(DeclineReason::NotLeader { leader: view.leader });
             }
             if !confirmed {
-                return Evidence::Decline(DeclineReason::Unavailable);
+                return ProofCheck::Decline(DeclineReason::Unavailable);
             }
         }
-        if !work.request.read {
-            return Evidence::Ready;
+        if !request.routed.read {
+            return ProofCheck::Ready;
         }
-        check_read(work, watch, now, leads && confirmed)
+        check_read(request, watch, now, leads && confirmed)
     }
 
     /// Has the work wait for a confirmed round that begins now or later.
     pub(crate) fn wait_round(&mut self, id: WorkId) {
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        work.rounds += 1;
-        work.stage = WorkStage::Round;
-        let deadline = work.deadline;
-        let term = work.term;
-        let Some(service) = self.owner.services.get(&work.request.database) else { return };
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        request.rounds += 1;
+        request.stage = RequestStage::WaitingForRound;
+        let deadline = request.deadline;
+        let term = request.term;
+        let Some(service) = self.owner.services.get(&request.routed.database) else { return };
         let cluster = service.cluster.clone();
-        self.arm_work(id, Some(deadline));
+        self.arm_owner_request(id, Some(deadline));
         // A round that began for others in this very step serves as well.
         if let Some((at, commit)) = self.clusters.get(&cluster).and_then(|state| state.asked_round)
             && at == self.now
-            && let Some(CommitUse::Round(works)) = self.owner.commits.get_mut(&commit)
+            && let Some(CommitPurpose::Round(requests)) = self.owner.commits.get_mut(&commit)
         {
-            works.push(id);
+            requests.push(id);
             return;
         }
         let commit = CommitId(self.next_id());
-        self.owner.commits.insert(commit, CommitUse::Round(vec![id]));
+        self.owner.commits.insert(commit, CommitPurpose::Round(vec![id]));
         if let Some(state) = self.clusters.get_mut(&cluster) {
             state.asked_round = Some((self.now, commit));
         }
@@ -121,19 +121,19 @@
     /// The first byte of an answer arrived: checks the proof again and decides.
     pub(crate) fn run_started(&mut self, run: RunId) {
         let Some(id) = self.owner.runs.get(&run).copied() else { return };
-        let Some(work) = self.owner.works.get(&id) else { return };
-        if !matches!(work.stage, WorkStage::Running { decided: false, .. }) {
+        let Some(request) = self.owner.requests.get(&id) else { return };
+        if !matches!(request.stage, RequestStage::Running { decided: false, .. }) {
             return;
         }
-        let refusal = self.recheck_proof(work);
-        let (origin, connection) = (work.origin, work.connection);
+        let refusal = self.recheck_proof(request);
+        let (origin, connection) = (request.origin, request.connection);
         let (age, wait) = self.hints_of(id);
-        if let Some(work) = self.owner.works.get_mut(&id) {
-            work.stage = WorkStage::Running { run, decided: true };
+        if let Some(request) = self.owner.requests.get_mut(&id) {
+            request.stage = RequestStage::Running { run, decided: true };
             match refusal {
                 None => self.emit(NodeAction::Relay { run }),
                 Some(reason) => {
-                    work.origin = WorkOrigin::Gone;
+                    request.origin = RequestOrigin::Abandoned;
                     self.count("reads.discarded", 1);
                     self.emit(NodeAction::Discard { run });
                     if let Some(connection) = connection {
@@ -147,13 +147,13 @@
     }
 
     /// Returns why the answer must not be relayed.
-    pub(crate) fn recheck_proof(&self, work: &OwnerWork) -> Option<DeclineReason> {
-        match work.proof? {
+    pub(crate) fn recheck_proof(&self, request: &OwnerRequest) -> Option<DeclineReason> {
+        match request.proof? {
             ReadProof::Replica { age, at, limit } => {
                 (age + self.now.saturating_sub(at) > limit).then_some(DeclineReason::NoProof)
             }
             ReadProof::Primary { term } => {
-                let service = self.owner.services.get(&work.request.database)?;
+                let service = self.owner.services.get(&request.routed.database)?;
                 let view = self.clusters.get(&service.cluster).map(|cluster| {
                     let view = cluster.watch.view(self.now);
                     let confirmed = view.confirmed_ago.is_some_and(|ago| ago <= LEADERSHIP_AGE);
@@ -161,12 +161,12 @@
                 });
                 match view {
                     Some((now, Some(leader), true))
-                        if now == term && leader == work.request.database =>
+                        if now == term && leader == request.routed.database =>
                     {
                         None
                     }
                     Some((_, leader, _)) => {
-                        let leader = leader.filter(|leader| *leader != work.request.database);
+                        let leader = leader.filter(|leader| *leader != request.routed.database);
                         Some(DeclineReason::NotLeader { leader })
                     }
                     None => Some(DeclineReason::NotLeader { leader: None }),
@@ -178,53 +178,58 @@
 
 /// Tells whether a read may be sent, and keeps the proof. `primary` tells that the database leads and
 /// was confirmed lately.
-fn check_read(work: &mut OwnerWork, watch: &ClusterWatch, now: Micros, primary: bool) -> Evidence {
+fn check_read(
+    request: &mut OwnerRequest,
+    watch: &ClusterWatch,
+    now: Micros,
+    primary: bool,
+) -> ProofCheck {
     let term = watch.view(now).term;
-    let database = work.request.database.clone();
-    if work.request.floor.is_none()
-        && work.sampled.is_none()
-        && let Some(ago) = work.request.arrived_ago
+    let database = request.routed.database.clone();
+    if request.routed.floor.is_none()
+        && request.sampled.is_none()
+        && let Some(ago) = request.routed.arrived_ago
     {
-        let since = work.arrived.saturating_sub(ago);
-        work.sampled = watch.confirmed_floor(since);
-        if work.sampled.is_none() {
-            return wait_or_decline(work);
+        let since = request.arrived.saturating_sub(ago);
+        request.sampled = watch.confirmed_floor(since);
+        if request.sampled.is_none() {
+            return wait_or_decline(request);
         }
     }
-    if let Some(floor) = work.lost.or(work.request.floor).or(work.sampled) {
+    if let Some(floor) = request.lost.or(request.routed.floor).or(request.sampled) {
         let mut state = watch.floor_state(&database, floor);
         // Terms never decrease, so this round shows that the cluster was rebuilt or the floor is
         // not its own.
-        if floor.term > term && watch.confirmed_floor(work.arrived).is_some() {
+        if floor.term > term && watch.confirmed_floor(request.arrived).is_some() {
             state = FloorState::Lost { instead: watch.term_floor() };
         }
         if let FloorState::Lost { instead } | FloorState::Uncertain { instead } = state {
-            work.lost = Some(instead);
+            request.lost = Some(instead);
             state = watch.floor_state(&database, instead);
         }
         match state {
             FloorState::Met => {}
-            _ if primary => return wait_or_decline(work),
-            _ => return Evidence::Decline(DeclineReason::NoProof),
+            _ if primary => return wait_or_decline(request),
+            _ => return ProofCheck::Decline(DeclineReason::NoProof),
         }
     }
     if primary {
-        work.proof = Some(ReadProof::Primary { term });
-        return Evidence::Ready;
+        request.proof = Some(ReadProof::Primary { term });
+        return ProofCheck::Ready;
     }
-    match (work.request.max_age, watch.provable_age(now, &database)) {
+    match (request.routed.max_age, watch.provable_age(now, &database)) {
         (Some(limit), Some(age)) if age <= limit => {
-            work.proof = Some(ReadProof::Replica { age, at: now, limit });
-            Evidence::Ready
+            request.proof = Some(ReadProof::Replica { age, at: now, limit });
+            ProofCheck::Ready
         }
-        _ => Evidence::Decline(DeclineReason::NoProof),
+        _ => ProofCheck::Decline(DeclineReason::NoProof),
     }
 }
 
-fn wait_or_decline(work: &OwnerWork) -> Evidence {
-    match work.rounds < ROUND_LIMIT {
-        true => Evidence::WaitRound,
-        false => Evidence::Decline(DeclineReason::NoProof),
+fn wait_or_decline(request: &OwnerRequest) -> ProofCheck {
+    match request.rounds < ROUND_LIMIT {
+        true => ProofCheck::WaitForRound,
+        false => ProofCheck::Decline(DeclineReason::NoProof),
     }
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -8,8 +8,8 @@
 use crate::Node;
 use crate::action::{NodeAction, RelayMode};
 use crate::id::{LaneId, RunId};
-use crate::owner::{CommitUse, PinKey, TransactionPin, WorkOrigin, WorkStage};
-use crate::proof::Evidence;
+use crate::owner::{CommitPurpose, PinKey, RequestOrigin, RequestStage, TransactionPin};
+use crate::proof::ProofCheck;
 use crate::step::Step;
 use crate::work::{DeclineReason, RunSummary, TransactionState, WorkReply};
 
@@ -18,37 +18,37 @@
 
 impl Node {
     /// Sends work on its connection, unless the evidence no longer holds.
-    pub(crate) fn dispatch_work(&mut self, id: WorkId, connection: ConnectionId) {
-        let refusal = match self.check_evidence(id) {
-            Evidence::Ready => None,
-            Evidence::WaitRound => Some(DeclineReason::NoProof),
-            Evidence::Decline(reason) => Some(reason),
-            Evidence::RollBack(message) => return self.roll_back_work(id, message),
+    pub(crate) fn dispatch_owner_request(&mut self, id: WorkId, connection: ConnectionId) {
+        let refusal = match self.check_proof(id) {
+            ProofCheck::Ready => None,
+            ProofCheck::WaitForRound => Some(DeclineReason::NoProof),
+            ProofCheck::Decline(reason) => Some(reason),
+            ProofCheck::RollBack(message) => return self.roll_back_owner_request(id, message),
         };
         if let Some(reason) = refusal {
             self.put_connection(connection);
-            return self.decline_work(id, reason);
+            return self.decline_owner_request(id, reason);
         }
-        let Some(work) = self.owner.works.get_mut(&id) else {
+        let Some(request) = self.owner.requests.get_mut(&id) else {
             return self.put_connection(connection);
         };
-        work.connection = Some(connection);
+        request.connection = Some(connection);
         if let Some(backend) = self.owner.connections.get_mut(&connection) {
-            backend.work = Some(id);
+            backend.request = Some(id);
         }
-        let deadline = work.deadline;
-        if work.request.request_key.is_some() && !work.request.read {
+        let deadline = request.deadline;
+        if request.routed.request_key.is_some() && !request.routed.read {
             self.start_keyed(id, connection);
-        } else if let Some(target) = work.target() {
-            let frames = work.request.request.frames.clone();
-            let mode = match work.pin {
-                None if work.request.read => RelayMode::Decide(target),
-                _ if work.request.commits => RelayMode::Hold(target),
+        } else if let Some(target) = request.target() {
+            let frames = request.routed.request.frames.clone();
+            let mode = match request.pin {
+                None if request.routed.read => RelayMode::Decide(target),
+                _ if request.routed.commits => RelayMode::Hold(target),
                 _ => RelayMode::Stream(target),
             };
             self.send_run(id, connection, frames, mode);
         }
-        self.arm_work(id, Some(deadline));
+        self.arm_owner_request(id, Some(deadline));
     }
 
     /// Starts one exchange.
@@ -62,8 +62,8 @@
         let run = RunId(self.next_id());
         self.owner.runs.insert(run, id);
         let decided = matches!(mode, RelayMode::Collect | RelayMode::Stream(_));
-        if let Some(work) = self.owner.works.get_mut(&id) {
-            work.stage = WorkStage::Running { run, decided };
+        if let Some(request) = self.owner.requests.get_mut(&id) {
+            request.stage = RequestStage::Running { run, decided };
         }
         self.count("runs", 1);
         self.emit(NodeAction::Run { connection, run, frames, mode });
@@ -73,7 +73,7 @@
     /// Gives an idle connection back to its pool.
     fn put_connection(&mut self, connection: ConnectionId) {
         let Some(backend) = self.owner.connections.get_mut(&connection) else { return };
-        backend.work = None;
+        backend.request = None;
         if backend.pin.is_some() {
             return;
         }
@@ -91,11 +91,11 @@
         summary: RunSummary,
     ) {
         let Some(id) = self.owner.runs.remove(&run) else { return };
-        let Some(work) = self.owner.works.get(&id) else { return };
-        if work.connection != Some(connection) {
+        let Some(request) = self.owner.requests.get(&id) else { return };
+        if request.connection != Some(connection) {
             return;
         }
-        if work.key.is_some() && work.origin != WorkOrigin::Gone {
+        if request.key.is_some() && request.origin != RequestOrigin::Abandoned {
             return self.keyed_finished(id, connection, run, summary);
         }
         self.plain_finished(id, connection, run, &summary);
@@ -108,33 +108,33 @@
         run: RunId,
         summary: &RunSummary,
     ) {
-        let Some(work) = self.owner.works.get(&id) else { return };
-        if work.origin == WorkOrigin::Gone {
+        let Some(request) = self.owner.requests.get(&id) else { return };
+        if request.origin == RequestOrigin::Abandoned {
             self.settle_connection(id, connection, summary.transaction);
-            self.remove_work(id);
+            self.remove_owner_request(id);
             return;
         }
-        let (commits, term) = (work.request.commits, work.term);
-        let undecided = matches!(work.stage, WorkStage::Running { decided: false, .. });
+        let (commits, term) = (request.routed.commits, request.term);
+        let undecided = matches!(request.stage, RequestStage::Running { decided: false, .. });
         let read_only = summary.error.as_ref().is_some_and(|error| &*error.code == READ_ONLY);
         let stale = match undecided && !commits {
-            true => self.recheck_proof(work),
+            true => self.recheck_proof(request),
             false => None,
         };
-        let durable = work.request.durable;
+        let durable = request.routed.durable;
         self.settle_connection(id, connection, summary.transaction);
         self.release_slot(id);
         if undecided
             && read_only
-            && self.owner.works.get(&id).is_some_and(|work| work.pin.is_none())
+            && self.owner.requests.get(&id).is_some_and(|request| request.pin.is_none())
         {
             self.emit(NodeAction::Discard { run });
-            return self.decline_work(id, DeclineReason::NotLeader { leader: None });
+            return self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
         }
         if let Some(reason) = stale {
             self.count("reads.discarded", 1);
             self.emit(NodeAction::Discard { run });
-            return self.decline_work(id, reason);
+            return self.decline_owner_request(id, reason);
         }
         // COMMIT of a failed transaction ends with the tag ROLLBACK and without an error.
         let committed = commits
@@ -147,21 +147,21 @@
         if undecided {
             self.emit(NodeAction::Relay { run });
         }
-        self.finish_work(id, summary.transaction, None);
+        self.complete_owner_request(id, summary.transaction, None);
     }
 
     /// Replies that the answer was relayed whole.
-    pub(crate) fn finish_work(
+    pub(crate) fn complete_owner_request(
         &mut self,
         id: WorkId,
         transaction: TransactionState,
         floor: Option<SessionFloor>,
     ) {
-        let Some(work) = self.owner.works.get(&id) else { return };
-        let (lost, floor) = (work.lost, floor.or(work.sampled));
+        let Some(request) = self.owner.requests.get(&id) else { return };
+        let (lost, floor) = (request.lost, floor.or(request.sampled));
         let (age, wait) = self.hints_of(id);
         let reply = WorkReply::Done { transaction, floor, lost, age, wait };
-        self.reply_work(id, reply);
+        self.reply_owner_request(id, reply);
     }
 
     /// Pins the connection while a transaction is open on it, or gives it back.
@@ -171,12 +171,12 @@
         connection: ConnectionId,
         state: TransactionState,
     ) {
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        work.connection = None;
-        let (origin, pin, term) = (work.origin, work.pin, work.term);
-        let (peer, database) = (work.peer.clone(), work.request.database.clone());
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        request.connection = None;
+        let (origin, pin, term) = (request.origin, request.pin, request.term);
+        let (peer, database) = (request.peer.clone(), request.routed.database.clone());
         if let Some(backend) = self.owner.connections.get_mut(&connection) {
-            backend.work = None;
+            backend.request = None;
         }
         if state == TransactionState::Idle {
             if let Some(key) = pin {
@@ -191,12 +191,12 @@
             return;
         }
         let key = match origin {
-            WorkOrigin::Session(session) => PinKey::Session(session),
-            WorkOrigin::Call(_) => PinKey::Lane(LaneId(self.next_id())),
-            WorkOrigin::Gone => return self.close_connection(connection),
+            RequestOrigin::Session(session) => PinKey::Session(session),
+            RequestOrigin::Call(_) => PinKey::Lane(LaneId(self.next_id())),
+            RequestOrigin::Abandoned => return self.close_connection(connection),
         };
-        if let Some(work) = self.owner.works.get_mut(&id) {
-            work.pin = Some(key);
+        if let Some(request) = self.owner.requests.get_mut(&id) {
+            request.pin = Some(key);
         }
         if let Some(backend) = self.owner.connections.get_mut(&connection) {
             backend.pin = Some(key);
@@ -205,7 +205,7 @@
             service.pins.insert(key);
             service.begins.remove(&id);
         }
-        let pin = TransactionPin { database, connection, term, peer, work: Some(id) };
+        let pin = TransactionPin { database, connection, term, peer, request: Some(id) };
         self.owner.pins.insert(key, pin);
     }
 
@@ -218,11 +218,11 @@
         durable: bool,
     ) {
         let commit = CommitId(self.next_id());
-        let Some(work) = self.owner.works.get_mut(&id) else { return };
-        work.stage = WorkStage::Acknowledging { commit, run };
-        let database = work.request.database.clone();
-        self.owner.commits.insert(commit, CommitUse::Work(id));
-        self.arm_work(id, None);
+        let Some(request) = self.owner.requests.get_mut(&id) else { return };
+        request.stage = RequestStage::Acknowledging { commit, run };
+        let database = request.routed.database.clone();
+        self.owner.commits.insert(commit, CommitPurpose::OwnerRequest(id));
+        self.arm_owner_request(id, None);
         let cluster = self.owner.services.get(&database).map(|service| service.cluster.clone());
         match cluster.filter(|cluster| self.clusters.contains_key(cluster)) {
             Some(cluster) => {
@@ -236,15 +236,15 @@
     /// The watch acknowledged a commit or a round.
     pub(crate) fn acknowledged(&mut self, commit: CommitId, floor: SessionFloor) {
         match self.owner.commits.remove(&commit) {
-            Some(CommitUse::Work(id)) => {
-                let Some(work) = self.owner.works.get_mut(&id) else { return };
-                let WorkStage::Acknowledging { run, .. } = work.stage else { return };
-                let recorded = work.key.take().and_then(|step| step.recorded_tag());
+            Some(CommitPurpose::OwnerRequest(id)) => {
+                let Some(request) = self.owner.requests.get_mut(&id) else { return };
+                let RequestStage::Acknowledging { run, .. } = request.stage else { return };
+                let recorded = request.key.take().and_then(|step| step.recorded_tag());
                 if let Some(run) = run {
                     self.emit(NodeAction::Relay { run });
                 }
                 match recorded {
-                    Some(tag) => self.reply_work(
+                    Some(tag) => self.reply_owner_request(
                         id,
                         WorkReply::Recorded {
                             command_tag: Some(tag),
@@ -253,18 +253,16 @@
                             floor: Some(floor),
                         },
                     ),
-                    None => self.finish_work(id, TransactionState::Idle, Some(floor)),
+                    None => self.complete_owner_request(id, TransactionState::Idle, Some(floor)),
                 }
             }
-            Some(CommitUse::Round(works)) => {
-                for id in works {
-                    let waits = self
-                        .owner
-                        .works
-                        .get(&id)
-                        .is_some_and(|work| matches!(work.stage, WorkStage::Round));
+            Some(CommitPurpose::Round(requests)) => {
+                for id in requests {
+                    let waits = self.owner.requests.get(&id).is_some_and(|request| {
+                        matches!(request.stage, RequestStage::WaitingForRound)
+                    });
                     if waits {
-                        self.check_work(id);
+                        self.check_owner_request(id);
                     }
                 }
             }
@@ -275,17 +273,17 @@
     /// The watch could not confirm a commit or a round.
     pub(crate) fn outcome_unknown(&mut self, commit: CommitId) {
         match self.owner.commits.remove(&commit) {
-            Some(CommitUse::Work(id)) => {
-                let Some(work) = self.owner.works.get(&id) else { return };
-                if let WorkStage::Acknowledging { run: Some(run), .. } = work.stage {
+            Some(CommitPurpose::OwnerRequest(id)) => {
+                let Some(request) = self.owner.requests.get(&id) else { return };
+                if let RequestStage::Acknowledging { run: Some(run), .. } = request.stage {
                     self.emit(NodeAction::Discard { run });
                 }
                 let message = "the primary could not be confirmed after the commit".to_string();
-                self.reply_work(id, WorkReply::Unknown { message });
+                self.reply_owner_request(id, WorkReply::Unknown { message });
             }
-            Some(CommitUse::Round(works)) => {
-                for id in works {
-                    self.decline_work(id, DeclineReason::NoProof);
+            Some(CommitPurpose::Round(requests)) => {
+                for id in requests {
+                    self.decline_owner_request(id, DeclineReason::NoProof);
                 }
             }
             None => {}
@@ -295,34 +293,35 @@
     /// Rows of a held answer went out.
     pub(crate) fn held_rows_relayed(&mut self, run: RunId) {
         let id = self.owner.runs.get(&run).copied();
-        if let Some(work) = id.and_then(|id| self.owner.works.get_mut(&id)) {
-            work.relayed = true;
+        if let Some(request) = id.and_then(|id| self.owner.requests.get_mut(&id)) {
+            request.relayed = true;
         }
     }
 
     /// The connection of work in progress was lost.
-    pub(crate) fn work_lost(&mut self, id: WorkId, message: &str) {
-        let Some(work) = self.owner.works.get(&id) else { return };
+    pub(crate) fn owner_request_lost(&mut self, id: WorkId, message: &str) {
+        let Some(request) = self.owner.requests.get(&id) else { return };
         let message = message.to_string();
-        let (read, commits, pinned) = (work.request.read, work.request.commits, work.pin.is_some());
-        let reply = match work.stage {
-            WorkStage::Acknowledging { .. } => return,
-            WorkStage::Running { .. } if commits => WorkReply::Unknown { message },
-            WorkStage::Running { decided, .. } if read && !pinned => {
+        let (read, commits, pinned) =
+            (request.routed.read, request.routed.commits, request.pin.is_some());
+        let reply = match request.stage {
+            RequestStage::Acknowledging { .. } => return,
+            RequestStage::Running { .. } if commits => WorkReply::Unknown { message },
+            RequestStage::Running { decided, .. } if read && !pinned => {
                 WorkReply::ReadFailed { relayed: decided, message }
             }
             _ => WorkReply::RolledBack { message },
         };
-        if let WorkStage::Running { run, decided: false } = work.stage {
+        if let RequestStage::Running { run, decided: false } = request.stage {
             self.emit(NodeAction::Discard { run });
         }
         if let Some(run) = self.held_statement(id) {
             self.emit(NodeAction::Discard { run });
         }
-        if let Some(work) = self.owner.works.get_mut(&id) {
-            work.connection = None;
+        if let Some(request) = self.owner.requests.get_mut(&id) {
+            request.connection = None;
         }
-        self.reply_work(id, reply);
+        self.reply_owner_request(id, reply);
     }
 
     /// Tells whether the table of request keys was made in this term.
--- a/crates/node/src/timer.rs
+++ b/crates/node/src/timer.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKey {
     Session(SessionId),
-    Work(WorkId),
+    OwnerRequest(WorkId),
 }
 
 /// Deadlines in order. An entry is not removed when its deadline changes; its owner keeps the time
