--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -22,7 +22,7 @@
 use crate::hints::HintTable;
 use crate::id::{CallId, SessionId};
 use crate::session::Session;
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::work::{CallerRequest, ErrorReply};
 
 /// First pause after all databases of a cluster declined a request; doubles up to
@@ -67,7 +67,7 @@
     pub attempt: Option<EntryAttempt>,
     retry_at: Option<Micros>,
     /// The deadline that counts in the timer heap.
-    pub due: Option<Micros>,
+    pub timer_due: Option<Micros>,
     backoff: Micros,
     /// Databases that declined since the last pause.
     tried: Vec<Name>,
@@ -170,7 +170,7 @@
                     self.entry.budget.first_try(self.now, rank);
                 }
                 self.arm_session(id);
-                self.steps.push_back(Step::Route(id));
+                self.steps.push_back(PendingStep::Route(id));
             }
         }
     }
@@ -214,7 +214,7 @@
             deadline: self.now + policy.deadline,
             attempt: None,
             retry_at: None,
-            due: None,
+            timer_due: None,
             backoff: FIRST_BACKOFF,
             tried: Vec::new(),
             primary_only: !executes || self.now < session.primary_until,
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -12,7 +12,7 @@
 use crate::id::{LaneId, SessionId};
 use crate::owner::PinKey;
 use crate::session::SessionTransaction;
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::work::{ErrorReply, TransactionState, WorkReply};
 
 impl Node {
@@ -28,7 +28,7 @@
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(request) = session.request.as_mut() else { return };
         let Some(attempt) = request.attempt.take_if(|attempt| attempt.path == path) else { return };
-        request.due = None;
+        request.timer_due = None;
         let database = attempt.database.clone();
         let cluster = session.cluster.clone();
         match reply {
@@ -153,7 +153,7 @@
         let Some(request) = self.request_mut(id) else { return };
         request.cancelled = true;
         match request.attempt.as_ref().map(|attempt| attempt.path) {
-            None => self.steps.push_back(Step::Route(id)),
+            None => self.steps.push_back(PendingStep::Route(id)),
             Some(AttemptPath::Local(work)) => self.cancel_owner_request(work),
             Some(AttemptPath::Remote(call)) => self.emit(NodeAction::CancelForward { call }),
         }
--- a/crates/node/src/entry/retry.rs
+++ b/crates/node/src/entry/retry.rs
@@ -8,7 +8,7 @@
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::work::{DeclineReason, WorkReply};
 
 impl Node {
@@ -41,7 +41,7 @@
             }
         }
         self.arm_session(id);
-        self.steps.push_back(Step::Route(id));
+        self.steps.push_back(PendingStep::Route(id));
     }
 
     /// A leader is known: requests that wait for one go on.
@@ -52,7 +52,7 @@
         for id in self.entry.waiting.remove(cluster).unwrap_or_default() {
             if let Some(request) = self.request_mut(id) {
                 request.retry_at = None;
-                self.steps.push_back(Step::Route(id));
+                self.steps.push_back(PendingStep::Route(id));
             }
         }
     }
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -178,8 +178,8 @@
             // The owner side keeps the deadline of local work.
             Some(AttemptPath::Local(_)) => None,
         };
-        if request.due != due {
-            request.due = due;
+        if request.timer_due != due {
+            request.timer_due = due;
             if let Some(due) = due {
                 self.timers.add(due, TimerKey::Session(id));
             }
@@ -189,7 +189,7 @@
     /// The timer of a session's request.
     pub(crate) fn session_due(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
-        request.due = None;
+        request.timer_due = None;
         match request.attempt.as_ref().map(|attempt| attempt.path) {
             None => {
                 request.retry_at = None;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::id::{LaneId, RunId};
 use crate::owner::{CommitPurpose, PinKey, RequestOrigin, RequestStage, TransactionPin};
 use crate::proof::ProofCheck;
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::work::{DeclineReason, RunSummary, TransactionState, WorkReply};
 
 /// SQLSTATE of a write at a replica.
@@ -26,11 +26,11 @@
             ProofCheck::RollBack(message) => return self.roll_back_owner_request(id, message),
         };
         if let Some(reason) = refusal {
-            self.put_connection(connection);
+            self.release_connection(connection);
             return self.decline_owner_request(id, reason);
         }
         let Some(request) = self.owner.requests.get_mut(&id) else {
-            return self.put_connection(connection);
+            return self.release_connection(connection);
         };
         request.connection = Some(connection);
         if let Some(backend) = self.owner.connections.get_mut(&connection) {
@@ -38,7 +38,7 @@
         }
         let deadline = request.deadline;
         if request.routed.request_key.is_some() && !request.routed.read {
-            self.start_keyed(id, connection);
+            self.start_keyed_write(id, connection);
         } else if let Some(target) = request.target() {
             let frames = request.routed.request.frames.clone();
             let mode = match request.pin {
@@ -46,13 +46,13 @@
                 _ if request.routed.commits => RelayMode::Hold(target),
                 _ => RelayMode::Stream(target),
             };
-            self.send_run(id, connection, frames, mode);
+            self.start_exchange(id, connection, frames, mode);
         }
         self.arm_owner_request(id, Some(deadline));
     }
 
     /// Starts one exchange.
-    pub(crate) fn send_run(
+    pub(crate) fn start_exchange(
         &mut self,
         id: WorkId,
         connection: ConnectionId,
@@ -60,7 +60,7 @@
         mode: RelayMode,
     ) -> RunId {
         let run = RunId(self.next_id());
-        self.owner.runs.insert(run, id);
+        self.owner.exchanges.insert(run, id);
         let decided = matches!(mode, RelayMode::Collect | RelayMode::Stream(_));
         if let Some(request) = self.owner.requests.get_mut(&id) {
             request.stage = RequestStage::Running { run, decided };
@@ -71,7 +71,7 @@
     }
 
     /// Gives an idle connection back to its pool.
-    fn put_connection(&mut self, connection: ConnectionId) {
+    fn release_connection(&mut self, connection: ConnectionId) {
         let Some(backend) = self.owner.connections.get_mut(&connection) else { return };
         backend.request = None;
         if backend.pin.is_some() {
@@ -81,27 +81,27 @@
         if let Some(service) = self.owner.services.get_mut(&database) {
             service.pool.put(self.now, connection);
         }
-        self.steps.push_back(Step::Pump(database));
+        self.steps.push_back(PendingStep::ServeQueue(database));
     }
 
-    pub(crate) fn run_finished(
+    pub(crate) fn exchange_finished(
         &mut self,
         connection: ConnectionId,
         run: RunId,
         summary: RunSummary,
     ) {
-        let Some(id) = self.owner.runs.remove(&run) else { return };
+        let Some(id) = self.owner.exchanges.remove(&run) else { return };
         let Some(request) = self.owner.requests.get(&id) else { return };
         if request.connection != Some(connection) {
             return;
         }
-        if request.key.is_some() && request.origin != RequestOrigin::Abandoned {
-            return self.keyed_finished(id, connection, run, summary);
+        if request.key_step.is_some() && request.origin != RequestOrigin::Abandoned {
+            return self.keyed_exchange_finished(id, connection, run, summary);
         }
-        self.plain_finished(id, connection, run, &summary);
+        self.unkeyed_exchange_finished(id, connection, run, &summary);
     }
 
-    fn plain_finished(
+    fn unkeyed_exchange_finished(
         &mut self,
         id: WorkId,
         connection: ConnectionId,
@@ -110,7 +110,7 @@
     ) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         if request.origin == RequestOrigin::Abandoned {
-            self.settle_connection(id, connection, summary.transaction);
+            self.pin_or_release_connection(id, connection, summary.transaction);
             self.remove_owner_request(id);
             return;
         }
@@ -122,7 +122,7 @@
             false => None,
         };
         let durable = request.routed.durable;
-        self.settle_connection(id, connection, summary.transaction);
+        self.pin_or_release_connection(id, connection, summary.transaction);
         self.release_slot(id);
         if undecided
             && read_only
@@ -158,14 +158,14 @@
         floor: Option<SessionFloor>,
     ) {
         let Some(request) = self.owner.requests.get(&id) else { return };
-        let (lost, floor) = (request.lost, floor.or(request.sampled));
-        let (age, wait) = self.hints_of(id);
+        let (lost, floor) = (request.replacement_position, floor.or(request.sampled_position));
+        let (age, wait) = self.age_and_wait(id);
         let reply = WorkReply::Done { transaction, floor, lost, age, wait };
         self.reply_owner_request(id, reply);
     }
 
     /// Pins the connection while a transaction is open on it, or gives it back.
-    pub(crate) fn settle_connection(
+    pub(crate) fn pin_or_release_connection(
         &mut self,
         id: WorkId,
         connection: ConnectionId,
@@ -180,12 +180,12 @@
         }
         if state == TransactionState::Idle {
             if let Some(key) = pin {
-                self.forget_pin(key);
+                self.remove_pin(key);
             }
             if let Some(backend) = self.owner.connections.get_mut(&connection) {
                 backend.pin = None;
             }
-            return self.put_connection(connection);
+            return self.release_connection(connection);
         }
         if pin.is_some() {
             return;
@@ -203,7 +203,7 @@
         }
         if let Some(service) = self.owner.services.get_mut(&database) {
             service.pins.insert(key);
-            service.begins.remove(&id);
+            service.opening_transactions.remove(&id);
         }
         let pin = TransactionPin { database, connection, term, peer, request: Some(id) };
         self.owner.pins.insert(key, pin);
@@ -239,7 +239,7 @@
             Some(CommitPurpose::OwnerRequest(id)) => {
                 let Some(request) = self.owner.requests.get_mut(&id) else { return };
                 let RequestStage::Acknowledging { run, .. } = request.stage else { return };
-                let recorded = request.key.take().and_then(|step| step.recorded_tag());
+                let recorded = request.key_step.take().and_then(|step| step.recorded_tag());
                 if let Some(run) = run {
                     self.emit(NodeAction::Relay { run });
                 }
@@ -292,9 +292,9 @@
 
     /// Rows of a held answer went out.
     pub(crate) fn held_rows_relayed(&mut self, run: RunId) {
-        let id = self.owner.runs.get(&run).copied();
+        let id = self.owner.exchanges.get(&run).copied();
         if let Some(request) = id.and_then(|id| self.owner.requests.get_mut(&id)) {
-            request.relayed = true;
+            request.rows_relayed = true;
         }
     }
 
@@ -315,7 +315,7 @@
         if let RequestStage::Running { run, decided: false } = request.stage {
             self.emit(NodeAction::Discard { run });
         }
-        if let Some(run) = self.held_statement(id) {
+        if let Some(run) = self.undecided_statement(id) {
             self.emit(NodeAction::Discard { run });
         }
         if let Some(request) = self.owner.requests.get_mut(&id) {
@@ -325,7 +325,10 @@
     }
 
     /// Tells whether the table of request keys was made in this term.
-    pub(crate) fn key_table_ready(&self, database: &Name, term: Term) -> bool {
-        self.owner.services.get(database).is_some_and(|service| service.key_table == Some(term))
+    pub(crate) fn is_key_table_ready(&self, database: &Name, term: Term) -> bool {
+        self.owner
+            .services
+            .get(database)
+            .is_some_and(|service| service.key_table_term == Some(term))
     }
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -217,7 +217,7 @@
             self.retire_service(&database);
         }
         self.entry.hints.retain(|database| fleet.database(database).is_some());
-        self.trim_pools();
+        self.close_surplus_connections();
         self.forget_clusters();
     }
 
@@ -266,7 +266,7 @@
     fn member_lost(&mut self, name: &Name) {
         self.count("members.lost", 1);
         self.log(LogLevel::Warn, format!("node {name} is gone"));
-        self.release_peer(name);
+        self.abandon_peer_requests(name);
         let mut calls: Vec<_> = self
             .entry
             .calls
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -62,20 +62,20 @@
 
 impl Node {
     /// Starts with the key, after making the table if this term has not seen it yet.
-    pub(crate) fn start_keyed(&mut self, id: WorkId, connection: ConnectionId) {
+    pub(crate) fn start_keyed_write(&mut self, id: WorkId, connection: ConnectionId) {
         let Some(request) = self.owner.requests.get(&id) else { return };
-        let ready = self.key_table_ready(&request.routed.database, request.term);
+        let ready = self.is_key_table_ready(&request.routed.database, request.term);
         match ready {
             true => self.insert_key(id, connection),
-            false => self.key_run(id, connection, KeyStep::CreateTable, CREATE_TABLE),
+            false => self.start_key_query(id, connection, KeyStep::CreateTable, CREATE_TABLE),
         }
     }
 
-    fn key_run(&mut self, id: WorkId, connection: ConnectionId, step: KeyStep, text: &str) {
+    fn start_key_query(&mut self, id: WorkId, connection: ConnectionId, step: KeyStep, text: &str) {
         if let Some(request) = self.owner.requests.get_mut(&id) {
-            request.key = Some(step);
+            request.key_step = Some(step);
         }
-        self.send_run(id, connection, simple_query(text), RelayMode::Collect);
+        self.start_exchange(id, connection, simple_query(text), RelayMode::Collect);
     }
 
     fn insert_key(&mut self, id: WorkId, connection: ConnectionId) {
@@ -86,7 +86,7 @@
             "{begin}INSERT INTO cicadawick_requests (request_key, caller, statement_hash) \
              VALUES ({key}, {caller}, '{hash}')"
         );
-        self.key_run(id, connection, KeyStep::Insert, &text);
+        self.start_key_query(id, connection, KeyStep::Insert, &text);
     }
 
     /// Key and caller as SQL constants, and the hash of the statement.
@@ -96,16 +96,16 @@
         (quote_text(key), quote_text(&request.routed.user), statement_hash(&request.routed.request))
     }
 
-    fn run_statement(&mut self, id: WorkId, connection: ConnectionId) {
+    fn start_statement(&mut self, id: WorkId, connection: ConnectionId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
-        request.key = Some(KeyStep::Statement);
+        request.key_step = Some(KeyStep::Statement);
         let Some(target) = request.target() else { return };
         let mode = match request.pin {
             Some(_) => RelayMode::Stream(target),
             None => RelayMode::Hold(target),
         };
         let frames = request.routed.request.frames.clone();
-        self.send_run(id, connection, frames, mode);
+        self.start_exchange(id, connection, frames, mode);
     }
 
     fn record_outcome(
@@ -124,24 +124,24 @@
              WHERE request_key = {key} AND caller = {caller}{commit}"
         );
         let step = KeyStep::Record { statement, transaction: summary.transaction };
-        self.key_run(id, connection, step, &text);
+        self.start_key_query(id, connection, step, &text);
     }
 
-    fn look_up(&mut self, id: WorkId, connection: ConnectionId) {
+    fn look_up_key(&mut self, id: WorkId, connection: ConnectionId) {
         let (key, caller, _) = self.key_values(id);
         let text = format!(
             "SELECT outcome, statement_hash FROM cicadawick_requests \
              WHERE request_key = {key} AND caller = {caller}"
         );
-        self.key_run(id, connection, KeyStep::Lookup, &text);
+        self.start_key_query(id, connection, KeyStep::Lookup, &text);
     }
 
     fn roll_back_key(&mut self, id: WorkId, connection: ConnectionId, then: AfterRollBack) {
-        self.key_run(id, connection, KeyStep::RollBack { then }, "ROLLBACK");
+        self.start_key_query(id, connection, KeyStep::RollBack { then }, "ROLLBACK");
     }
 
     /// A run of keyed work ended.
-    pub(crate) fn keyed_finished(
+    pub(crate) fn keyed_exchange_finished(
         &mut self,
         id: WorkId,
         connection: ConnectionId,
@@ -151,12 +151,12 @@
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         let pinned = request.pin.is_some();
         let (database, term) = (request.routed.database.clone(), request.term);
-        let Some(step) = request.key.take() else { return };
+        let Some(step) = request.key_step.take() else { return };
         let code = summary.error.as_ref().map(|error| error.code.to_string());
         let state = summary.transaction;
         match (step, summary.error.clone()) {
             (KeyStep::CreateTable, Some(error)) if &*error.code == READ_ONLY => {
-                self.end_keyed(id, connection, state);
+                self.release_keyed_request(id, connection, state);
                 self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
             }
             (KeyStep::CreateTable, _) => {
@@ -164,11 +164,11 @@
                 // not, the insert says so.
                 // In a caller's transaction its rollback takes a table along that it made.
                 if let Some(service) = self.owner.services.get_mut(&database).filter(|_| !pinned) {
-                    service.key_table = Some(term);
+                    service.key_table_term = Some(term);
                 }
                 self.insert_key(id, connection);
             }
-            (KeyStep::Insert, None) => self.run_statement(id, connection),
+            (KeyStep::Insert, None) => self.start_statement(id, connection),
             (KeyStep::Insert, Some(error)) if pinned => {
                 self.reply_keyed_error(id, connection, state, error);
             }
@@ -178,7 +178,7 @@
                     Some(READ_ONLY) => AfterRollBack::Decline,
                     _ => {
                         if let Some(service) = self.owner.services.get_mut(&database) {
-                            service.key_table = None;
+                            service.key_table_term = None;
                         }
                         AfterRollBack::Fail(error)
                     }
@@ -187,18 +187,18 @@
             }
             (KeyStep::Statement, None) => self.record_outcome(id, connection, run, &summary),
             (KeyStep::Statement, Some(_)) if pinned => {
-                self.end_keyed(id, connection, state);
+                self.release_keyed_request(id, connection, state);
                 self.complete_owner_request(id, state, None);
             }
             (KeyStep::Statement, Some(_)) => {
                 self.roll_back_key(id, connection, AfterRollBack::Relay(run));
             }
             (KeyStep::Record { transaction, .. }, None) if pinned => {
-                self.end_keyed(id, connection, state);
+                self.release_keyed_request(id, connection, state);
                 self.complete_owner_request(id, transaction, None);
             }
             (KeyStep::Record { statement, .. }, None) => {
-                self.end_keyed(id, connection, state);
+                self.release_keyed_request(id, connection, state);
                 self.await_acknowledgement(id, Some(statement), term, true);
             }
             (KeyStep::Record { statement, .. }, Some(error)) => {
@@ -206,16 +206,16 @@
                 self.emit(NodeAction::Discard { run: statement });
                 self.reply_keyed_error(id, connection, state, error);
             }
-            (KeyStep::RollBack { then }, _) => self.rolled_back(id, connection, state, then),
+            (KeyStep::RollBack { then }, _) => self.key_rolled_back(id, connection, state, then),
             (KeyStep::Lookup, Some(error)) => {
                 self.reply_keyed_error(id, connection, state, error);
             }
-            (KeyStep::Lookup, None) => self.looked_up(id, connection, &summary),
+            (KeyStep::Lookup, None) => self.key_looked_up(id, connection, &summary),
             (KeyStep::Recorded { .. }, _) => {}
         }
     }
 
-    fn rolled_back(
+    fn key_rolled_back(
         &mut self,
         id: WorkId,
         connection: ConnectionId,
@@ -223,28 +223,28 @@
         then: AfterRollBack,
     ) {
         match then {
-            AfterRollBack::Lookup => self.look_up(id, connection),
+            AfterRollBack::Lookup => self.look_up_key(id, connection),
             AfterRollBack::Relay(run) => {
-                self.end_keyed(id, connection, state);
+                self.release_keyed_request(id, connection, state);
                 self.emit(NodeAction::Relay { run });
                 self.complete_owner_request(id, state, None);
             }
             AfterRollBack::Fail(error) => self.reply_keyed_error(id, connection, state, error),
             AfterRollBack::Decline => {
-                self.end_keyed(id, connection, state);
+                self.release_keyed_request(id, connection, state);
                 self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
             }
         }
     }
 
-    fn looked_up(&mut self, id: WorkId, connection: ConnectionId, summary: &RunSummary) {
+    fn key_looked_up(&mut self, id: WorkId, connection: ConnectionId, summary: &RunSummary) {
         let (_, _, hash) = self.key_values(id);
         match summary.first_row.as_slice() {
             [outcome, recorded] if recorded.as_deref() == Some(hash.as_str()) => {
                 let tag = outcome.clone().unwrap_or_else(|| "OK".to_string());
-                self.end_keyed(id, connection, summary.transaction);
+                self.release_keyed_request(id, connection, summary.transaction);
                 let Some(request) = self.owner.requests.get_mut(&id) else { return };
-                request.key = Some(KeyStep::Recorded { tag });
+                request.key_step = Some(KeyStep::Recorded { tag });
                 let (caller, rank, term) =
                     (request.routed.caller.clone(), request.routed.rank, request.term);
                 self.accounts.count(self.now, &caller, rank, CallerMeasure::RepeatedKeys, 1);
@@ -263,11 +263,16 @@
     }
 
     /// Gives slot and connection back after the last run.
-    fn end_keyed(&mut self, id: WorkId, connection: ConnectionId, state: TransactionState) {
+    fn release_keyed_request(
+        &mut self,
+        id: WorkId,
+        connection: ConnectionId,
+        state: TransactionState,
+    ) {
         if let Some(request) = self.owner.requests.get_mut(&id) {
-            request.key = None;
+            request.key_step = None;
         }
-        self.settle_connection(id, connection, state);
+        self.pin_or_release_connection(id, connection, state);
         self.release_slot(id);
     }
 
@@ -278,7 +283,7 @@
         state: TransactionState,
         error: ErrorReply,
     ) {
-        self.end_keyed(id, connection, state);
+        self.release_keyed_request(id, connection, state);
         let reply = WorkReply::Recorded {
             command_tag: None,
             error: Some(error),
@@ -289,12 +294,12 @@
     }
 
     /// The statement's run whose held answer nobody will decide on any more.
-    pub(crate) fn held_statement(&self, id: WorkId) -> Option<RunId> {
+    pub(crate) fn undecided_statement(&self, id: WorkId) -> Option<RunId> {
         let request = self.owner.requests.get(&id)?;
         if !matches!(request.stage, RequestStage::Running { .. }) {
             return None;
         }
-        match &request.key {
+        match &request.key_step {
             Some(KeyStep::Record { statement, .. }) if request.pin.is_none() => Some(*statement),
             Some(KeyStep::RollBack { then: AfterRollBack::Relay(run) }) => Some(*run),
             _ => None,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -19,6 +19,7 @@
 mod drain;
 mod entry;
 mod event;
+mod exchange;
 mod fleet;
 mod frames;
 mod hints;
@@ -28,7 +29,6 @@
 mod owner;
 mod proof;
 mod record;
-mod run;
 mod session;
 mod step;
 mod timer;
@@ -55,7 +55,7 @@
 use fleet::FleetState;
 use owner::{OwnerState, PinKey};
 use session::Session;
-use step::Step;
+use step::PendingStep;
 use timer::{TimerHeap, TimerKey};
 
 /// Callers that the accounting table keeps for each measure.
@@ -70,7 +70,7 @@
     settings: NodeSettings,
     now: Micros,
     out: Vec<NodeAction>,
-    steps: VecDeque<Step>,
+    steps: VecDeque<PendingStep>,
     random: SeededRandom,
     last_id: u64,
     timers: TimerHeap,
@@ -148,11 +148,11 @@
         self.dispatch(event);
         while let Some(step) = self.steps.pop_front() {
             match step {
-                Step::Route(session) => self.route_request(session),
-                Step::Reply { session, path, reply, lane } => {
+                PendingStep::Route(session) => self.route_request(session),
+                PendingStep::Reply { session, path, reply, lane } => {
                     self.reply_arrived(session, path, reply, lane);
                 }
-                Step::Pump(database) => self.pump_database(&database),
+                PendingStep::ServeQueue(database) => self.serve_queue(&database),
             }
         }
         self.check_drained();
@@ -172,10 +172,10 @@
             NodeEvent::BackendLost { connection, message } => {
                 self.backend_lost(connection, &message);
             }
-            NodeEvent::RunStarted { run, .. } => self.run_started(run),
+            NodeEvent::RunStarted { run, .. } => self.exchange_started(run),
             NodeEvent::HeldRowsRelayed { run, .. } => self.held_rows_relayed(run),
             NodeEvent::RunFinished { connection, run, summary } => {
-                self.run_finished(connection, run, summary);
+                self.exchange_finished(connection, run, summary);
             }
             NodeEvent::ReportArrived { id, report } => self.report_arrived(id, report),
             NodeEvent::FenceAnswered { id, accepted, report } => {
@@ -245,7 +245,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         expired.sort();
-        self.steps.extend(expired.into_iter().map(Step::Pump));
+        self.steps.extend(expired.into_iter().map(PendingStep::ServeQueue));
         while let Some((due, key)) = self.timers.first().filter(|(due, _)| *due <= now) {
             self.timers.remove_first();
             if !self.timer_counts(due, key) {
@@ -260,8 +260,8 @@
             self.housekeeping = now + HOUSEKEEPING_INTERVAL;
             self.update_watcher();
             self.move_leaders();
-            self.give_up_openings();
-            self.trim_pools();
+            self.close_overdue_openings();
+            self.close_surplus_connections();
             self.forget_clusters();
             self.forget_reports();
         }
@@ -274,9 +274,9 @@
                 .sessions
                 .get(&session)
                 .and_then(|session| session.request.as_ref())
-                .and_then(|request| request.due),
+                .and_then(|request| request.timer_due),
             TimerKey::OwnerRequest(id) => {
-                self.owner.requests.get(&id).and_then(|request| request.due)
+                self.owner.requests.get(&id).and_then(|request| request.timer_due)
             }
         };
         current == Some(due)
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -172,7 +172,7 @@
                 "opening": opening,
                 "busy": busy,
                 "pinned": service.pins.len(),
-                "waiting": service.wanting.len(),
+                "waiting": service.awaiting_connection.len(),
             },
         })
     }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -22,7 +22,7 @@
 use crate::id::{CallId, LaneId, RunId, SessionId};
 use crate::keyed::KeyStep;
 use crate::proof::ReadProof;
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::work::{DeclineReason, WorkRequest};
 
 /// Time for which a surplus connection stays open. Opening one takes 12 ms at both users.
@@ -94,7 +94,7 @@
     pub routed: WorkRequest,
     pub arrived: Micros,
     pub deadline: Micros,
-    pub due: Option<Micros>,
+    pub timer_due: Option<Micros>,
     pub stage: RequestStage,
     pub pin: Option<PinKey>,
     pub granted_at: Option<Micros>,
@@ -103,19 +103,19 @@
     pub term: Term,
     pub proof: Option<ReadProof>,
     /// Floor sampled for a session without a token.
-    pub sampled: Option<SessionFloor>,
-    pub lost: Option<SessionFloor>,
+    pub sampled_position: Option<SessionFloor>,
+    pub replacement_position: Option<SessionFloor>,
     /// Confirmed rounds that were waited for.
-    pub rounds: u32,
+    pub rounds_awaited: u32,
     pub cancel_sent: bool,
     /// Rows of a held answer went out.
-    pub relayed: bool,
-    pub key: Option<KeyStep>,
+    pub rows_relayed: bool,
+    pub key_step: Option<KeyStep>,
 }
 
 impl OwnerRequest {
     /// Opens a transaction, as far as its class tells.
-    pub(crate) fn begins(&self) -> bool {
+    pub(crate) fn opens_transaction(&self) -> bool {
         self.pin.is_none() && !self.routed.read && !self.routed.commits
     }
 
@@ -138,7 +138,7 @@
     pub database: Name,
     pub open: bool,
     /// When the node asked for it.
-    pub asked: Micros,
+    pub requested_at: Micros,
     pub request: Option<WorkId>,
     pub pin: Option<PinKey>,
 }
@@ -152,18 +152,18 @@
     pub queue: SlotQueue,
     pub pool: ConnectionPool,
     /// Work with a slot that waits for a connection, in the order of the grants.
-    pub wanting: VecDeque<WorkId>,
+    pub awaiting_connection: VecDeque<WorkId>,
     /// Work that would open one transaction too many.
     pub deferred: BTreeSet<(Rank, WorkId)>,
     pub pins: FastSet<PinKey>,
     /// Work in progress that opens a transaction.
-    pub begins: FastSet<WorkId>,
+    pub opening_transactions: FastSet<WorkId>,
     /// Transactions that may be open at once. The rest of the connections, one for each slot, stays
     /// free of them: else work that holds all slots would wait for connections of transactions
     /// whose next statements wait for a slot.
     pub transaction_limit: usize,
     /// Term in which the table of request keys was made.
-    pub key_table: Option<Term>,
+    pub key_table_term: Option<Term>,
     /// When this node first saw the database marked as leaving.
     leaving_since: Option<Micros>,
     deferred_limit: usize,
@@ -175,7 +175,7 @@
     pub services: FastMap<Name, DatabaseService>,
     pub requests: FastMap<WorkId, OwnerRequest>,
     pub calls: FastMap<CallId, WorkId>,
-    pub runs: FastMap<RunId, WorkId>,
+    pub exchanges: FastMap<RunId, WorkId>,
     pub commits: FastMap<CommitId, CommitPurpose>,
     pub connections: FastMap<ConnectionId, BackendConnection>,
     pub pins: FastMap<PinKey, TransactionPin>,
@@ -216,18 +216,20 @@
 
     /// When the pool opens connections again for work that waits.
     pub(crate) fn next_open(&self) -> Option<Micros> {
-        self.pool.next_retry().filter(|_| !self.wanting.is_empty())
+        self.pool.next_retry().filter(|_| !self.awaiting_connection.is_empty())
     }
 
     /// Tells whether the database is leaving and waits for open transactions. A primary serves other
     /// statements meanwhile, so that one slow transaction does not stop the writes of all callers.
     pub(crate) fn is_draining(&self, now: Micros) -> bool {
-        let open = !self.pins.is_empty() || !self.begins.is_empty();
+        let open = !self.pins.is_empty() || !self.opening_transactions.is_empty();
         open && self.leaving_since.is_some_and(|since| now < since + LEAVE_TIMEOUT)
     }
 
     pub(crate) fn is_unused(&self) -> bool {
-        self.pins.is_empty() && self.begins.is_empty() && self.wanting.is_empty()
+        self.pins.is_empty()
+            && self.opening_transactions.is_empty()
+            && self.awaiting_connection.is_empty()
     }
 }
 
@@ -251,7 +253,7 @@
             Some(service) => {
                 service.cluster = cluster.name.clone();
                 if service.config.address != config.address {
-                    service.key_table = None;
+                    service.key_table_term = None;
                 }
                 service.config = config.clone();
                 service.owned = owned;
@@ -268,12 +270,12 @@
                     owned,
                     queue: SlotQueue::new(queue),
                     pool: ConnectionPool::new(pool),
-                    wanting: VecDeque::new(),
+                    awaiting_connection: VecDeque::new(),
                     deferred: BTreeSet::new(),
                     pins: FastSet::default(),
-                    begins: FastSet::default(),
+                    opening_transactions: FastSet::default(),
                     transaction_limit,
-                    key_table: None,
+                    key_table_term: None,
                     leaving_since,
                     deferred_limit,
                 };
@@ -281,7 +283,7 @@
             }
             None => {}
         }
-        self.steps.push_back(Step::Pump(config.name.clone()));
+        self.steps.push_back(PendingStep::ServeQueue(config.name.clone()));
     }
 
     /// Stops serving a database: work that was not sent is declined, the rest finishes.
@@ -309,6 +311,6 @@
         for id in unsent {
             self.decline_owner_request(id, DeclineReason::Unavailable);
         }
-        self.steps.push_back(Step::Pump(database.clone()));
+        self.steps.push_back(PendingStep::ServeQueue(database.clone()));
     }
 }
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -7,7 +7,7 @@
 use super::{OwnerRequest, PinKey, RequestOrigin, RequestStage};
 use crate::Node;
 use crate::proof::ProofCheck;
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::timer::TimerKey;
 use crate::work::{DeclineReason, WorkRequest};
 
@@ -33,19 +33,19 @@
             arrived: self.now,
             deadline: self.now + routed.time_left,
             routed,
-            due: None,
+            timer_due: None,
             stage: RequestStage::WaitingForRound,
             pin,
             granted_at: None,
             connection: None,
             term: Term(0),
             proof: None,
-            sampled: None,
-            lost: None,
-            rounds: 0,
+            sampled_position: None,
+            replacement_position: None,
+            rounds_awaited: 0,
             cancel_sent: false,
-            relayed: false,
-            key: None,
+            rows_relayed: false,
+            key_step: None,
         };
         self.owner.requests.insert(id, request);
         if self.drain.is_draining() && pin.is_none() && matches!(origin, RequestOrigin::Call(_)) {
@@ -60,7 +60,7 @@
     pub(crate) fn check_owner_request(&mut self, id: WorkId) {
         match self.check_proof(id) {
             ProofCheck::Ready => self.enqueue_owner_request(id),
-            ProofCheck::WaitForRound => self.wait_round(id),
+            ProofCheck::WaitForRound => self.wait_for_round(id),
             ProofCheck::Decline(reason) => self.decline_owner_request(id, reason),
             ProofCheck::RollBack(message) => self.roll_back_owner_request(id, message),
         }
@@ -69,8 +69,9 @@
     fn enqueue_owner_request(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         let Some(service) = self.owner.services.get_mut(&request.routed.database) else { return };
-        if request.begins() && !service.begins.contains(&id) {
-            if service.pins.len() + service.begins.len() >= service.transaction_limit {
+        if request.opens_transaction() && !service.opening_transactions.contains(&id) {
+            if service.pins.len() + service.opening_transactions.len() >= service.transaction_limit
+            {
                 let rank = request.routed.rank;
                 if service.deferred.len() >= service.deferred_limit {
                     let limit = u32::try_from(service.deferred_limit).unwrap_or(u32::MAX);
@@ -81,7 +82,7 @@
                 let deadline = request.deadline;
                 return self.arm_owner_request(id, Some(deadline));
             }
-            service.begins.insert(id);
+            service.opening_transactions.insert(id);
         }
         let ticket = WorkTicket {
             work: id,
@@ -96,16 +97,16 @@
                 request.stage = RequestStage::Queued;
                 let database = request.routed.database.clone();
                 self.arm_owner_request(id, None);
-                self.steps.push_back(Step::Pump(database));
+                self.steps.push_back(PendingStep::ServeQueue(database));
             }
             Err(reason) => {
                 request.stage = RequestStage::WaitingForRound;
-                self.refuse_owner_request(id, reason);
+                self.decline_refused_request(id, reason);
             }
         }
     }
 
-    fn refuse_owner_request(&mut self, id: WorkId, reason: RefusalReason) {
+    fn decline_refused_request(&mut self, id: WorkId, reason: RefusalReason) {
         let reason = match reason {
             RefusalReason::QueueFull { limit } => DeclineReason::QueueFull { limit },
             RefusalReason::DeadlineUnreachable { expected } => DeclineReason::Deadline { expected },
@@ -117,8 +118,8 @@
     /// Sets the timer of work.
     pub(crate) fn arm_owner_request(&mut self, id: WorkId, due: Option<Micros>) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
-        if request.due != due {
-            request.due = due;
+        if request.timer_due != due {
+            request.timer_due = due;
             if let Some(due) = due {
                 self.timers.add(due, TimerKey::OwnerRequest(id));
             }
@@ -126,29 +127,29 @@
     }
 
     /// Grants slots and connections of a database.
-    pub(crate) fn pump_database(&mut self, database: &Name) {
+    pub(crate) fn serve_queue(&mut self, database: &Name) {
         let now = self.now;
         let Some(service) = self.owner.services.get_mut(database) else { return };
         for (id, reason) in service.queue.expire(now) {
             if let Some(request) = self.owner.requests.get_mut(&id) {
                 request.stage = RequestStage::WaitingForRound;
-                self.refuse_owner_request(id, reason);
+                self.decline_refused_request(id, reason);
             }
         }
         self.resume_deferred(database);
         self.grant_slots(database);
         let mut actions = Vec::new();
         while let Some(service) = self.owner.services.get_mut(database) {
-            let Some(id) = service.wanting.front().copied() else { break };
-            let wanted = service.wanting.len() as u32;
+            let Some(id) = service.awaiting_connection.front().copied() else { break };
+            let wanted = service.awaiting_connection.len() as u32;
             let next = &mut self.owner.next_connection;
             let Some(connection) = service.pool.take(now, wanted, next, &mut actions) else {
                 break;
             };
-            service.wanting.pop_front();
+            service.awaiting_connection.pop_front();
             self.dispatch_owner_request(id, connection);
         }
-        self.decline_without_pool(database);
+        self.decline_without_connections(database);
         if let Some(service) = self.owner.services.get_mut(database)
             && !service.owned
         {
@@ -160,7 +161,8 @@
     /// Queues work that waited until another transaction ended.
     fn resume_deferred(&mut self, database: &Name) {
         while let Some(service) = self.owner.services.get_mut(database) {
-            if service.pins.len() + service.begins.len() >= service.transaction_limit {
+            if service.pins.len() + service.opening_transactions.len() >= service.transaction_limit
+            {
                 break;
             }
             let Some((_, id)) = service.deferred.pop_first() else { break };
@@ -182,7 +184,7 @@
             let pin = request.pin.and_then(|pin| self.owner.pins.get(&pin));
             match (request.pin, pin.map(|pin| pin.connection)) {
                 (None, _) => {
-                    service.wanting.push_back(grant.work);
+                    service.awaiting_connection.push_back(grant.work);
                     let deadline = request.deadline;
                     self.arm_owner_request(grant.work, Some(deadline));
                 }
@@ -196,13 +198,13 @@
 
     /// Declines work that waits for a connection while none is there and none is being opened, as after
     /// a failed open. It would hold slots for nothing.
-    pub(super) fn decline_without_pool(&mut self, database: &Name) {
+    pub(super) fn decline_without_connections(&mut self, database: &Name) {
         let Some(service) = self.owner.services.get(database) else { return };
         let stats = service.pool.stats();
         if stats.opening + stats.idle + stats.taken > 0 {
             return;
         }
-        for id in service.wanting.clone() {
+        for id in service.awaiting_connection.clone() {
             self.decline_owner_request(id, DeclineReason::Unavailable);
         }
     }
@@ -217,6 +219,6 @@
         service.queue.finish(now, id);
         let used = now.saturating_sub(granted_at);
         self.accounts.count(now, &routed.caller, routed.rank, CallerMeasure::SlotTime, used.0);
-        self.steps.push_back(Step::Pump(routed.database.clone()));
+        self.steps.push_back(PendingStep::ServeQueue(routed.database.clone()));
     }
 }
--- a/crates/node/src/owner/pin.rs
+++ b/crates/node/src/owner/pin.rs
@@ -6,21 +6,21 @@
 use super::{PinKey, TransactionPin};
 use crate::Node;
 use crate::id::LaneId;
-use crate::step::Step;
+use crate::step::PendingStep;
 
 impl Node {
-    pub(crate) fn forget_pin(&mut self, key: PinKey) -> Option<TransactionPin> {
+    pub(crate) fn remove_pin(&mut self, key: PinKey) -> Option<TransactionPin> {
         let pin = self.owner.pins.remove(&key)?;
         if let Some(service) = self.owner.services.get_mut(&pin.database) {
             service.pins.remove(&key);
         }
-        self.steps.push_back(Step::Pump(pin.database.clone()));
+        self.steps.push_back(PendingStep::ServeQueue(pin.database.clone()));
         Some(pin)
     }
 
     /// Ends a pinned transaction by closing its connection, and the statement in progress on it.
     pub(crate) fn close_pin(&mut self, key: PinKey, message: &str) {
-        let Some(pin) = self.forget_pin(key) else { return };
+        let Some(pin) = self.remove_pin(key) else { return };
         self.count("transactions.dropped", 1);
         if let Some(id) = pin.request
             && self.owner.requests.get(&id).is_some_and(|request| request.pin == Some(key))
@@ -31,7 +31,7 @@
     }
 
     /// A peer died: its transactions roll back and its queued work is dropped.
-    pub(crate) fn release_peer(&mut self, peer: &Name) {
+    pub(crate) fn abandon_peer_requests(&mut self, peer: &Name) {
         let from_peer = |other: &Option<Name>| other.as_ref() == Some(peer);
         let mut requests: Vec<WorkId> = self
             .owner
--- a/crates/node/src/owner/pool.rs
+++ b/crates/node/src/owner/pool.rs
@@ -6,7 +6,7 @@
 use super::{BackendConnection, OPEN_TIMEOUT};
 use crate::Node;
 use crate::action::{LogLevel, NodeAction};
-use crate::step::Step;
+use crate::step::PendingStep;
 
 impl Node {
     /// Opens and closes connections as a pool asks.
@@ -21,7 +21,7 @@
                         BackendConnection {
                             database: database.clone(),
                             open: false,
-                            asked: self.now,
+                            requested_at: self.now,
                             request: None,
                             pin: None,
                         },
@@ -51,7 +51,7 @@
         if let Some(service) = self.owner.services.get_mut(&database) {
             service.pool.opened(self.now, connection);
         }
-        self.steps.push_back(Step::Pump(database));
+        self.steps.push_back(PendingStep::ServeQueue(database));
     }
 
     /// A connection could not be opened or was lost.
@@ -63,7 +63,7 @@
         }
         self.count("backends.lost", 1);
         if let Some(key) = backend.pin {
-            self.forget_pin(key);
+            self.remove_pin(key);
         }
         if let Some(id) = backend.request {
             self.owner_request_lost(id, message);
@@ -71,9 +71,9 @@
         if !backend.open {
             let text = format!("failed to connect to database {database}: {message}");
             self.log(LogLevel::Warn, text);
-            self.decline_without_pool(&database);
+            self.decline_without_connections(&database);
         }
-        self.steps.push_back(Step::Pump(database));
+        self.steps.push_back(PendingStep::ServeQueue(database));
     }
 
     /// Closes a connection that must not be used again.
@@ -83,17 +83,17 @@
             service.pool.lost(self.now, connection);
         }
         self.emit(NodeAction::CloseBackend { connection });
-        self.steps.push_back(Step::Pump(backend.database));
+        self.steps.push_back(PendingStep::ServeQueue(backend.database));
     }
 
     /// Gives up connections that do not open.
-    pub(crate) fn give_up_openings(&mut self) {
+    pub(crate) fn close_overdue_openings(&mut self) {
         let oldest = self.now.saturating_sub(OPEN_TIMEOUT);
         let mut late: Vec<ConnectionId> = self
             .owner
             .connections
             .iter()
-            .filter(|(_, backend)| !backend.open && backend.asked <= oldest)
+            .filter(|(_, backend)| !backend.open && backend.requested_at <= oldest)
             .map(|(connection, _)| *connection)
             .collect();
         late.sort();
@@ -104,7 +104,7 @@
     }
 
     /// Closes surplus connections of all pools and forgets databases that are no longer owned or used.
-    pub(crate) fn trim_pools(&mut self) {
+    pub(crate) fn close_surplus_connections(&mut self) {
         let mut names: Vec<Name> = self.owner.services.keys().cloned().collect();
         names.sort();
         for name in names {
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -8,7 +8,7 @@
 use crate::action::NodeAction;
 use crate::entry::AttemptPath;
 use crate::id::{CallId, LaneId};
-use crate::step::Step;
+use crate::step::PendingStep;
 use crate::work::{DeclineReason, WorkReply, WorkRequest};
 
 impl Node {
@@ -31,7 +31,7 @@
     /// The timer of work.
     pub(crate) fn owner_request_due(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
-        request.due = None;
+        request.timer_due = None;
         match request.stage {
             RequestStage::Running { run, .. } => {
                 let connection = request.connection;
@@ -74,7 +74,7 @@
             self.owner.calls.remove(&call);
         }
         request.origin = RequestOrigin::Abandoned;
-        if let Some(run) = self.held_statement(id) {
+        if let Some(run) = self.undecided_statement(id) {
             self.emit(NodeAction::Discard { run });
         }
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
@@ -114,16 +114,18 @@
                 RequestStage::Deferred => {
                     service.deferred.remove(&(request.routed.rank, id));
                 }
-                RequestStage::Granted => service.wanting.retain(|waiting| *waiting != id),
+                RequestStage::Granted => {
+                    service.awaiting_connection.retain(|waiting| *waiting != id)
+                }
                 _ => {}
             }
-            if service.begins.remove(&id) {
-                self.steps.push_back(Step::Pump(request.routed.database.clone()));
+            if service.opening_transactions.remove(&id) {
+                self.steps.push_back(PendingStep::ServeQueue(request.routed.database.clone()));
             }
         }
         match &request.stage {
             RequestStage::Running { run, .. } => {
-                self.owner.runs.remove(run);
+                self.owner.exchanges.remove(run);
             }
             RequestStage::Acknowledging { commit, .. } => {
                 self.owner.commits.remove(commit);
@@ -145,7 +147,7 @@
         let Some(request) = self.remove_owner_request(id) else { return };
         let reply = match reply {
             // The entry proxy would repeat a keyed write, and the caller get its rows twice.
-            WorkReply::Unknown { message } if request.relayed => {
+            WorkReply::Unknown { message } if request.rows_relayed => {
                 WorkReply::ReadFailed { relayed: true, message }
             }
             reply => reply,
@@ -164,7 +166,7 @@
         match origin {
             RequestOrigin::Session(session) => {
                 let path = AttemptPath::Local(id);
-                self.steps.push_back(Step::Reply { session, path, reply, lane: None });
+                self.steps.push_back(PendingStep::Reply { session, path, reply, lane: None });
             }
             RequestOrigin::Call(call) => {
                 self.owner.calls.remove(&call);
@@ -187,7 +189,7 @@
             };
             return self.roll_back_owner_request(id, message);
         }
-        let (age, wait) = self.hints_of(id);
+        let (age, wait) = self.age_and_wait(id);
         self.reply_owner_request(id, WorkReply::Declined { reason, age, wait });
     }
 
@@ -202,7 +204,7 @@
     }
 
     /// Data age and expected wait that a reply carries as hints.
-    pub(crate) fn hints_of(&self, id: WorkId) -> (Option<Micros>, Micros) {
+    pub(crate) fn age_and_wait(&self, id: WorkId) -> (Option<Micros>, Micros) {
         let Some(request) = self.owner.requests.get(&id) else { return (None, Micros::ZERO) };
         let Some(service) = self.owner.services.get(&request.routed.database) else {
             return (None, Micros::ZERO);
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -13,10 +13,10 @@
 /// Age of the last confirmed round up to which the primary counts as in office for reads and for the
 /// start of writes: two rounds of 250 ms and a margin. A longer time sends more writes to a frozen
 /// primary, and their outcome is then unknown.
-const LEADERSHIP_AGE: Micros = Micros::from_millis(600);
+const MAX_LEADERSHIP_PROOF_AGE: Micros = Micros::from_millis(600);
 
 /// Rounds that work waits for before it is declined.
-const ROUND_LIMIT: u32 = 2;
+const MAX_ROUNDS_AWAITED: u32 = 2;
 
 /// Whether work may be sent.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
             if request.pin.is_some() {
                 return ProofCheck::RollBack("the database is gone".to_string());
             }
-            return ProofCheck::Decline(not_owner(&self.fleet, &self.members, &database));
+            return ProofCheck::Decline(not_owner_reason(&self.fleet, &self.members, &database));
         };
         let watch = self.clusters.get(&service.cluster).map(|cluster| &cluster.watch);
         let view = watch.map(|watch| watch.view(now));
@@ -65,18 +65,18 @@
             return ProofCheck::Ready;
         }
         if !service.owned {
-            return ProofCheck::Decline(not_owner(&self.fleet, &self.members, &database));
+            return ProofCheck::Decline(not_owner_reason(&self.fleet, &self.members, &database));
         }
         let (Some(watch), Some(view)) = (watch, view) else {
             return ProofCheck::Decline(DeclineReason::Unavailable);
         };
         let leads = view.leader.as_ref() == Some(&database);
-        let served = leads && service.is_draining(now) && !request.begins();
+        let served = leads && service.is_draining(now) && !request.opens_transaction();
         if service.config.leaving && !served {
             return ProofCheck::Decline(DeclineReason::Unavailable);
         }
         request.term = view.term;
-        let confirmed = view.confirmed_ago.is_some_and(|ago| ago <= LEADERSHIP_AGE);
+        let confirmed = view.confirmed_ago.is_some_and(|ago| ago <= MAX_LEADERSHIP_PROOF_AGE);
         if !request.routed.read || request.routed.max_age.is_none() {
             if !leads {
                 return ProofCheck::Decline(DeclineReason::NotLeader { leader: view.leader });
@@ -92,9 +92,9 @@
     }
 
     /// Has the work wait for a confirmed round that begins now or later.
-    pub(crate) fn wait_round(&mut self, id: WorkId) {
+    pub(crate) fn wait_for_round(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
-        request.rounds += 1;
+        request.rounds_awaited += 1;
         request.stage = RequestStage::WaitingForRound;
         let deadline = request.deadline;
         let term = request.term;
@@ -119,15 +119,15 @@
     }
 
     /// The first byte of an answer arrived: checks the proof again and decides.
-    pub(crate) fn run_started(&mut self, run: RunId) {
-        let Some(id) = self.owner.runs.get(&run).copied() else { return };
+    pub(crate) fn exchange_started(&mut self, run: RunId) {
+        let Some(id) = self.owner.exchanges.get(&run).copied() else { return };
         let Some(request) = self.owner.requests.get(&id) else { return };
         if !matches!(request.stage, RequestStage::Running { decided: false, .. }) {
             return;
         }
         let refusal = self.recheck_proof(request);
         let (origin, connection) = (request.origin, request.connection);
-        let (age, wait) = self.hints_of(id);
+        let (age, wait) = self.age_and_wait(id);
         if let Some(request) = self.owner.requests.get_mut(&id) {
             request.stage = RequestStage::Running { run, decided: true };
             match refusal {
@@ -156,7 +156,8 @@
                 let service = self.owner.services.get(&request.routed.database)?;
                 let view = self.clusters.get(&service.cluster).map(|cluster| {
                     let view = cluster.watch.view(self.now);
-                    let confirmed = view.confirmed_ago.is_some_and(|ago| ago <= LEADERSHIP_AGE);
+                    let confirmed =
+                        view.confirmed_ago.is_some_and(|ago| ago <= MAX_LEADERSHIP_PROOF_AGE);
                     (view.term, view.leader, confirmed)
                 });
                 match view {
@@ -187,16 +188,18 @@
     let term = watch.view(now).term;
     let database = request.routed.database.clone();
     if request.routed.floor.is_none()
-        && request.sampled.is_none()
+        && request.sampled_position.is_none()
         && let Some(ago) = request.routed.arrived_ago
     {
         let since = request.arrived.saturating_sub(ago);
-        request.sampled = watch.confirmed_floor(since);
-        if request.sampled.is_none() {
-            return wait_or_decline(request);
+        request.sampled_position = watch.confirmed_floor(since);
+        if request.sampled_position.is_none() {
+            return wait_for_round_or_decline(request);
         }
     }
-    if let Some(floor) = request.lost.or(request.routed.floor).or(request.sampled) {
+    if let Some(floor) =
+        request.replacement_position.or(request.routed.floor).or(request.sampled_position)
+    {
         let mut state = watch.floor_state(&database, floor);
         // Terms never decrease, so this round shows that the cluster was rebuilt or the floor is
         // not its own.
@@ -204,12 +207,12 @@
             state = FloorState::Lost { instead: watch.term_floor() };
         }
         if let FloorState::Lost { instead } | FloorState::Uncertain { instead } = state {
-            request.lost = Some(instead);
+            request.replacement_position = Some(instead);
             state = watch.floor_state(&database, instead);
         }
         match state {
             FloorState::Met => {}
-            _ if primary => return wait_or_decline(request),
+            _ if primary => return wait_for_round_or_decline(request),
             _ => return ProofCheck::Decline(DeclineReason::NoProof),
         }
     }
@@ -226,14 +229,14 @@
     }
 }
 
-fn wait_or_decline(request: &OwnerRequest) -> ProofCheck {
-    match request.rounds < ROUND_LIMIT {
+fn wait_for_round_or_decline(request: &OwnerRequest) -> ProofCheck {
+    match request.rounds_awaited < MAX_ROUNDS_AWAITED {
         true => ProofCheck::WaitForRound,
         false => ProofCheck::Decline(DeclineReason::NoProof),
     }
 }
 
-fn not_owner(
+fn not_owner_reason(
     fleet: &crate::fleet::FleetState,
     members: &member::MemberTable,
     database: &Name,
--- a/crates/node/src/step.rs
+++ b/crates/node/src/step.rs
@@ -7,11 +7,11 @@
 use crate::work::WorkReply;
 
 #[derive(Debug)]
-pub(crate) enum Step {
+pub(crate) enum PendingStep {
     /// Route a session's request.
     Route(SessionId),
     /// The local owner's reply to a session.
     Reply { session: SessionId, path: AttemptPath, reply: WorkReply, lane: Option<LaneId> },
     /// Grant slots and connections of a database.
-    Pump(Name),
+    ServeQueue(Name),
 }
