--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -17,29 +17,29 @@
 
 /// Time after which the purpose of an unanswered request is forgotten; the machines have long counted
 /// it as failed.
-const REQUEST_LIFE: Micros = Micros::from_secs(10);
+const REPORT_REQUEST_TTL: Micros = Micros::from_secs(10);
 
 /// Age of the last confirmed round up to which a planned change of primary is begun; beyond it, the
 /// primary is suspected instead.
-const LEADER_FRESH: Micros = Micros::from_secs(1);
+const MAX_SWITCHOVER_PROOF_AGE: Micros = Micros::from_secs(1);
 
 /// A watched cluster.
 #[derive(Debug)]
 pub(crate) struct ClusterState {
     pub config: ClusterConfig,
-    pub watch: ClusterWatch,
+    pub monitor: ClusterWatch,
     pub supervisor: Supervisor,
     /// When a confirmed round was last asked for work that waits for one.
-    pub asked_round: Option<(Micros, CommitId)>,
+    pub requested_round: Option<(Micros, CommitId)>,
 }
 
 /// What a request on a report connection is for.
 #[derive(Debug)]
-pub(crate) struct ReportUse {
+pub(crate) struct PendingReport {
     cluster: Name,
     database: Name,
     purpose: ReportPurpose,
-    asked: Micros,
+    sent_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -70,7 +70,7 @@
         match self.clusters.get_mut(&config.name) {
             Some(state) => {
                 if state.config != *config {
-                    state.watch.set_databases(databases.clone());
+                    state.monitor.set_databases(databases.clone());
                     state.supervisor.set_databases(databases);
                     state.supervisor.set_leaving(leaving_databases(config));
                     state.config = config.clone();
@@ -78,14 +78,18 @@
             }
             None => {
                 let seed = self.random.next_u64();
-                let watch = ClusterWatch::new(WatchConfig::default(), databases.clone());
+                let monitor = ClusterWatch::new(WatchConfig::default(), databases.clone());
                 let mut supervisor = Supervisor::new(self.settings.name.clone(), databases, seed);
                 supervisor.set_leaving(leaving_databases(config));
-                let state =
-                    ClusterState { config: config.clone(), watch, supervisor, asked_round: None };
+                let state = ClusterState {
+                    config: config.clone(),
+                    monitor,
+                    supervisor,
+                    requested_round: None,
+                };
                 self.clusters.insert(config.name.clone(), state);
                 // Starts the first round.
-                self.handle_watch(&config.name, WatchEvent::Timer);
+                self.handle_monitor_event(&config.name, WatchEvent::Timer);
             }
         }
     }
@@ -102,20 +106,20 @@
         rank_owners(&cluster.name, owners)
     }
 
-    pub(crate) fn handle_watch(&mut self, cluster: &Name, event: WatchEvent) {
+    pub(crate) fn handle_monitor_event(&mut self, cluster: &Name, event: WatchEvent) {
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         let mut actions = Vec::new();
-        state.watch.handle(self.now, event, &mut actions);
+        state.monitor.handle(self.now, event, &mut actions);
         for action in actions {
-            self.run_watch_action(cluster, action);
+            self.run_monitor_action(cluster, action);
         }
     }
 
-    fn run_watch_action(&mut self, cluster: &Name, action: WatchAction) {
+    fn run_monitor_action(&mut self, cluster: &Name, action: WatchAction) {
         match action {
             WatchAction::AskReport { database, round } => {
                 let purpose = ReportPurpose::Round(round);
-                self.ask_database(cluster, &database, purpose, |id, database, address| {
+                self.send_report_request(cluster, &database, purpose, |id, database, address| {
                     NodeAction::AskReport { id, database, address }
                 });
             }
@@ -125,10 +129,10 @@
                 let text = format!("cluster {cluster} is led by {leader} in term {term}");
                 self.log(LogLevel::Info, text);
                 self.count("leaders.changed", 1);
-                self.leader_heard(cluster, &leader);
-                self.release_deposed(cluster, &leader);
+                self.leader_learned(cluster, &leader);
+                self.decline_writes_at_replaced_primary(cluster, &leader);
                 let event = SupervisorEvent::LeaderConfirmed { term, leader };
-                self.handle_supervisor(cluster, event);
+                self.handle_supervisor_event(cluster, event);
             }
             WatchAction::PrimarySuspected { term } => {
                 let Some(state) = self.clusters.get(cluster) else { return };
@@ -137,18 +141,18 @@
                 if let Some(place) = place {
                     let order = u32::try_from(place).unwrap_or(u32::MAX);
                     let event = SupervisorEvent::PrimarySuspected { term, order };
-                    self.handle_supervisor(cluster, event);
+                    self.handle_supervisor_event(cluster, event);
                 }
             }
             WatchAction::SuspicionCleared => {
-                self.handle_supervisor(cluster, SupervisorEvent::SuspicionCleared);
+                self.handle_supervisor_event(cluster, SupervisorEvent::SuspicionCleared);
             }
         }
     }
 
     /// Declines writes that wait at the replaced primary. They would be declined when their turn comes,
     /// but by then their deadline may have passed.
-    fn release_deposed(&mut self, cluster: &Name, leader: &Name) {
+    fn decline_writes_at_replaced_primary(&mut self, cluster: &Name, leader: &Name) {
         let mut waiting: Vec<WorkId> = self
             .owner
             .requests
@@ -169,7 +173,7 @@
         }
     }
 
-    fn ask_database(
+    fn send_report_request(
         &mut self,
         cluster: &Name,
         database: &Name,
@@ -181,13 +185,13 @@
             return;
         };
         let id = ReportId(self.next_id());
-        let (cluster, asked) = (cluster.clone(), self.now);
-        let used = ReportUse { cluster, database: database.clone(), purpose, asked };
-        self.reports.insert(id, used);
+        let (cluster, sent_at) = (cluster.clone(), self.now);
+        let pending = PendingReport { cluster, database: database.clone(), purpose, sent_at };
+        self.reports.insert(id, pending);
         self.emit(action(id, database.clone(), address));
     }
 
-    pub(crate) fn handle_supervisor(&mut self, cluster: &Name, event: SupervisorEvent) {
+    pub(crate) fn handle_supervisor_event(&mut self, cluster: &Name, event: SupervisorEvent) {
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         let mut actions = Vec::new();
         let before = state.supervisor.step();
@@ -216,7 +220,7 @@
                         }
                         None => {
                             let event = SupervisorEvent::ViewArrived { from: name, view: None };
-                            self.handle_supervisor(cluster, event);
+                            self.handle_supervisor_event(cluster, event);
                         }
                     }
                 }
@@ -230,9 +234,12 @@
                 self.emit(NodeAction::WriteRecord { cluster, expected_index, bytes });
             }
             SupervisorAction::Fence { database, term, by } => {
-                self.ask_database(cluster, &database, ReportPurpose::Fence, |id, database, at| {
-                    NodeAction::AskFence { id, database, address: at, term, by }
-                });
+                self.send_report_request(
+                    cluster,
+                    &database,
+                    ReportPurpose::Fence,
+                    |id, database, at| NodeAction::AskFence { id, database, address: at, term, by },
+                );
             }
             SupervisorAction::Promote { database, term } => {
                 self.log(
@@ -240,7 +247,7 @@
                     format!("promoting {database} to primary of cluster {cluster} in term {term}"),
                 );
                 self.count("promotions.ordered", 1);
-                self.ask_database(
+                self.send_report_request(
                     cluster,
                     &database,
                     ReportPurpose::Promote,
@@ -248,21 +255,33 @@
                 );
             }
             SupervisorAction::Follow { database, term, leader } => {
-                self.ask_database(cluster, &database, ReportPurpose::Follow, |id, database, at| {
-                    NodeAction::AskFollow { id, database, address: at, term, leader }
-                });
+                self.send_report_request(
+                    cluster,
+                    &database,
+                    ReportPurpose::Follow,
+                    |id, database, at| NodeAction::AskFollow {
+                        id,
+                        database,
+                        address: at,
+                        term,
+                        leader,
+                    },
+                );
             }
         }
     }
 
     pub(crate) fn report_arrived(&mut self, id: ReportId, report: failover::DatabaseReport) {
-        let Some(used) = self.reports.remove(&id) else { return };
-        if let ReportPurpose::Round(round) = used.purpose {
-            let database = used.database.clone();
-            self.handle_watch(&used.cluster, WatchEvent::ReportArrived { database, round, report });
+        let Some(pending) = self.reports.remove(&id) else { return };
+        if let ReportPurpose::Round(round) = pending.purpose {
+            let database = pending.database.clone();
+            self.handle_monitor_event(
+                &pending.cluster,
+                WatchEvent::ReportArrived { database, round, report },
+            );
             // The supervisor orders databases that lag behind the confirmed term to follow.
-            let event = SupervisorEvent::ReportSeen { database: used.database, report };
-            self.handle_supervisor(&used.cluster, event);
+            let event = SupervisorEvent::ReportSeen { database: pending.database, report };
+            self.handle_supervisor_event(&pending.cluster, event);
         }
     }
 
@@ -272,26 +291,32 @@
         accepted: bool,
         report: failover::DatabaseReport,
     ) {
-        let Some(used) = self.reports.remove(&id) else { return };
-        let event = SupervisorEvent::Fenced { database: used.database, accepted, report };
-        self.handle_supervisor(&used.cluster, event);
+        let Some(pending) = self.reports.remove(&id) else { return };
+        let event = SupervisorEvent::Fenced { database: pending.database, accepted, report };
+        self.handle_supervisor_event(&pending.cluster, event);
     }
 
     pub(crate) fn promote_answered(&mut self, id: ReportId, start: model::LogPosition) {
-        let Some(used) = self.reports.remove(&id) else { return };
-        let event = SupervisorEvent::Promoted { database: used.database, start };
-        self.handle_supervisor(&used.cluster, event);
+        let Some(pending) = self.reports.remove(&id) else { return };
+        let event = SupervisorEvent::Promoted { database: pending.database, start };
+        self.handle_supervisor_event(&pending.cluster, event);
     }
 
     pub(crate) fn report_failed(&mut self, id: ReportId) {
-        let Some(used) = self.reports.remove(&id) else { return };
-        let database = used.database;
-        match used.purpose {
+        let Some(pending) = self.reports.remove(&id) else { return };
+        let database = pending.database;
+        match pending.purpose {
             ReportPurpose::Round(round) => {
-                self.handle_watch(&used.cluster, WatchEvent::ReportFailed { database, round });
+                self.handle_monitor_event(
+                    &pending.cluster,
+                    WatchEvent::ReportFailed { database, round },
+                );
             }
             ReportPurpose::Fence | ReportPurpose::Promote => {
-                self.handle_supervisor(&used.cluster, SupervisorEvent::DatabaseFailed { database });
+                self.handle_supervisor_event(
+                    &pending.cluster,
+                    SupervisorEvent::DatabaseFailed { database },
+                );
             }
             // The database follows at the next promotion or by its own team's tool.
             ReportPurpose::Follow => self.count("follows.failed", 1),
@@ -315,39 +340,39 @@
             PlatformAnswer::RecordFailed { cluster } => (cluster, SupervisorEvent::PlatformFailed),
             PlatformAnswer::Document { .. } | PlatformAnswer::VmList(_) => return,
         };
-        self.handle_supervisor(&cluster, event);
+        self.handle_supervisor_event(&cluster, event);
     }
 
     pub(crate) fn view_answered(&mut self, cluster: &Name, from: Name, view: Option<LeaderView>) {
-        self.handle_supervisor(cluster, SupervisorEvent::ViewArrived { from, view });
+        self.handle_supervisor_event(cluster, SupervisorEvent::ViewArrived { from, view });
     }
 
     /// Runs the timers of watches and supervisors that are due.
-    pub(crate) fn cluster_timers(&mut self) {
+    pub(crate) fn run_cluster_timers(&mut self) {
         let now = self.now;
         let names: Vec<Name> = self.clusters.keys().cloned().collect();
         for name in names {
             let due = |next: Option<Micros>| next.is_some_and(|next| next <= now);
-            if self.clusters.get(&name).is_some_and(|state| due(state.watch.next_timer())) {
-                self.handle_watch(&name, WatchEvent::Timer);
+            if self.clusters.get(&name).is_some_and(|state| due(state.monitor.next_timer())) {
+                self.handle_monitor_event(&name, WatchEvent::Timer);
             }
             if self.clusters.get(&name).is_some_and(|state| due(state.supervisor.next_timer())) {
-                self.handle_supervisor(&name, SupervisorEvent::Timer);
+                self.handle_supervisor_event(&name, SupervisorEvent::Timer);
             }
         }
     }
 
     /// Has the primary moved away from each leaving database that this node owns, once its open
     /// transactions have ended or their time is up.
-    pub(crate) fn move_leaders(&mut self) {
+    pub(crate) fn start_switchovers(&mut self) {
         let mut moves = Vec::new();
         for (name, service) in &self.owner.services {
             if !service.owned || !service.config.leaving || service.is_draining(self.now) {
                 continue;
             }
             let Some(state) = self.clusters.get(&service.cluster) else { continue };
-            let view = state.watch.view(self.now);
-            let confirmed = view.confirmed_ago.is_some_and(|ago| ago < LEADER_FRESH);
+            let view = state.monitor.view(self.now);
+            let confirmed = view.confirmed_ago.is_some_and(|ago| ago < MAX_SWITCHOVER_PROOF_AGE);
             if confirmed && view.leader.as_ref() == Some(name) {
                 let pins: Vec<PinKey> = service.pins.iter().copied().collect();
                 moves.push((service.cluster.clone(), view.term, pins));
@@ -357,13 +382,13 @@
             for key in pins {
                 self.close_pin(key, "the primary moves away from a leaving backend server");
             }
-            self.handle_supervisor(&cluster, SupervisorEvent::LeaderLeaving { term });
+            self.handle_supervisor_event(&cluster, SupervisorEvent::LeaderLeaving { term });
         }
     }
 
     /// Forgets requests that the shell never answered.
-    pub(crate) fn forget_reports(&mut self) {
-        let oldest = self.now.saturating_sub(REQUEST_LIFE);
-        self.reports.retain(|_, used| used.asked >= oldest);
+    pub(crate) fn expire_pending_reports(&mut self) {
+        let oldest = self.now.saturating_sub(REPORT_REQUEST_TTL);
+        self.reports.retain(|_, pending| pending.sent_at >= oldest);
     }
 }
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -46,7 +46,7 @@
         }
         self.drain = DrainState::Draining { until: self.now + self.settings.drain_timeout };
         self.log(LogLevel::Info, "shutting down".to_string());
-        self.handle_member(MemberEvent::Leave);
+        self.handle_member_event(MemberEvent::Leave);
         let mut sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         sessions.sort();
         for id in sessions {
@@ -74,7 +74,7 @@
         let DrainState::Draining { until } = self.drain else { return };
         let overdue = self.now >= until;
         if overdue {
-            self.end_by_force();
+            self.force_shutdown();
         }
         let done = self.sessions.is_empty()
             && self.owner.requests.is_empty()
@@ -86,7 +86,7 @@
         }
     }
 
-    fn end_by_force(&mut self) {
+    fn force_shutdown(&mut self) {
         let mut sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         sessions.sort();
         for id in sessions {
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -18,7 +18,7 @@
 use stats::CallerMeasure;
 
 use crate::Node;
-use crate::frames::{OwnAnswer, executes, own_answer};
+use crate::frames::{ProxyAnswer, executes, proxy_answer};
 use crate::hints::HintTable;
 use crate::id::{CallId, SessionId};
 use crate::session::Session;
@@ -27,8 +27,8 @@
 
 /// First pause after all databases of a cluster declined a request; doubles up to
 /// [`LONGEST_BACKOFF`]. A new leader ends the pause at once, so it need not be short.
-const FIRST_BACKOFF: Micros = Micros::from_millis(20);
-const LONGEST_BACKOFF: Micros = Micros::from_millis(500);
+const MIN_BACKOFF: Micros = Micros::from_millis(20);
+const MAX_BACKOFF: Micros = Micros::from_millis(500);
 
 /// Time beyond the deadline after which a peer that does not answer counts as lost. Covers the
 /// cancellation of a running statement (1 s) and the wait for an acknowledgement (3 s).
@@ -36,7 +36,7 @@
 
 /// Time for which a session whose floor a replica has not reached reads from the primary. It saves the
 /// way over a replica that would decline again, and is short against a lag at which replicas serve.
-const FLOOR_PAUSE: Micros = Micros::from_millis(100);
+const REPLICA_LAG_BACKOFF: Micros = Micros::from_millis(100);
 
 /// Where a request is at the moment.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     pub read: bool,
     pub commits: bool,
     /// May change something, so that the COMMIT of its transaction has to be acknowledged.
-    writes: bool,
+    may_write: bool,
     pub key: Option<Name>,
     pub policy: Arc<WorkPolicy>,
     arrived: Micros,
@@ -70,22 +70,22 @@
     pub timer_due: Option<Micros>,
     backoff: Micros,
     /// Databases that declined since the last pause.
-    tried: Vec<Name>,
+    declined_by: Vec<Name>,
     /// A replica could not prove what the read needs.
     primary_only: bool,
     /// The last decline was for lack of a primary.
     no_primary: bool,
     /// A keyed write may have run; "not run" is no longer true.
-    maybe_ran: bool,
+    may_have_run: bool,
     /// A read was sent and broke off.
-    broke_off: bool,
+    interrupted: bool,
     cancelled: bool,
     route: (Name, &'static str),
 }
 
 /// A forwarded call.
 #[derive(Debug)]
-pub(crate) struct EntryCall {
+pub(crate) struct ForwardedCall {
     pub session: SessionId,
     pub to: Name,
 }
@@ -93,7 +93,7 @@
 /// State of the entry side beside the sessions.
 #[derive(Debug, Default)]
 pub(crate) struct EntryState {
-    pub calls: FastMap<CallId, EntryCall>,
+    pub calls: FastMap<CallId, ForwardedCall>,
     pub hints: HintTable,
     pub budget: RetryBudget,
     /// Sessions whose request waits for a primary, by cluster.
@@ -135,7 +135,7 @@
             StatementClass::Session(command) => {
                 Some(self.run_command(&mut session, &request, command))
             }
-            StatementClass::Empty => Some(Ok(own_answer(&request, OwnAnswer::EmptyQuery))),
+            StatementClass::Empty => Some(Ok(proxy_answer(&request, ProxyAnswer::EmptyQuery))),
             StatementClass::Unsupported(reason) => {
                 // The caller takes an error for the end of its transaction, so it has to be one.
                 if let Some(transaction) = session.transaction.take() {
@@ -144,11 +144,11 @@
                 Some(Err(error("0A000", *reason)))
             }
             StatementClass::Commit | StatementClass::Rollback
-                if session.transaction.is_none() && !holds_several(&request.text) =>
+                if session.transaction.is_none() && !has_several_statements(&request.text) =>
             {
                 session.notices.push(error("25P01", "there is no transaction in progress"));
                 let tag = if class == StatementClass::Commit { "COMMIT" } else { "ROLLBACK" };
-                Some(Ok(own_answer(&request, OwnAnswer::Complete { tag })))
+                Some(Ok(proxy_answer(&request, ProxyAnswer::Complete { tag })))
             }
             _ => None,
         };
@@ -183,18 +183,19 @@
         comment_key: Option<Name>,
     ) -> EntryRequest {
         let executes = executes(&request);
-        let several = holds_several(&request.text);
+        let several = has_several_statements(&request.text);
         let in_transaction = session.transaction.is_some();
         // Messages that only prepare and describe change nothing, whatever the statement is.
         let read = !executes || *class == StatementClass::Read;
-        let wrote = session.transaction.as_ref().is_some_and(|transaction| transaction.wrote);
+        let has_written =
+            session.transaction.as_ref().is_some_and(|transaction| transaction.has_written);
         let commits = executes
             && match class {
                 StatementClass::Write => !in_transaction,
-                StatementClass::Commit => !in_transaction || wrote || several,
+                StatementClass::Commit => !in_transaction || has_written || several,
                 _ => false,
             };
-        let writes = executes
+        let may_write = executes
             && match class {
                 StatementClass::Write => true,
                 StatementClass::Begin { read_only: false } => several,
@@ -208,19 +209,19 @@
         EntryRequest {
             read,
             commits,
-            writes,
+            may_write,
             key,
             arrived: self.now,
             deadline: self.now + policy.deadline,
             attempt: None,
             retry_at: None,
             timer_due: None,
-            backoff: FIRST_BACKOFF,
-            tried: Vec::new(),
+            backoff: MIN_BACKOFF,
+            declined_by: Vec::new(),
             primary_only: !executes || self.now < session.primary_until,
             no_primary: false,
-            maybe_ran: false,
-            broke_off: false,
+            may_have_run: false,
+            interrupted: false,
             cancelled: false,
             route: (Name::default(), ""),
             policy,
@@ -234,6 +235,6 @@
 }
 
 /// Tells whether a text holds more than one statement, or something that looks like it.
-fn holds_several(text: &str) -> bool {
+fn has_several_statements(text: &str) -> bool {
     text.trim_end().trim_end_matches([';', ' ', '\n', '\t', '\r']).contains(';')
 }
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -8,7 +8,7 @@
 use super::{AttemptPath, EntryAttempt, error};
 use crate::Node;
 use crate::action::NodeAction;
-use crate::frames::{OwnAnswer, own_answer};
+use crate::frames::{ProxyAnswer, proxy_answer};
 use crate::id::{LaneId, SessionId};
 use crate::owner::PinKey;
 use crate::session::SessionTransaction;
@@ -34,30 +34,30 @@
         match reply {
             WorkReply::Done { transaction, floor, lost, age, wait } => {
                 let led = !request.read;
-                session.take_floors(floor, lost);
-                self.entry.hints.heard(now, &database, age, wait);
+                session.update_required_position(floor, lost);
+                self.entry.hints.update_status(now, &database, age, wait);
                 if lost.is_some() {
                     self.count("writes.lost", 1);
                 }
                 if led {
-                    self.leader_heard(&cluster, &database);
+                    self.leader_learned(&cluster, &database);
                 }
-                self.keep_transaction(id, &attempt, transaction, lane);
+                self.update_transaction(id, &attempt, transaction, lane);
                 self.finish_request(id, None, Bytes::new());
             }
             WorkReply::Recorded { command_tag, error, transaction, floor } => {
                 let answer = match &command_tag {
-                    Some(tag) => own_answer(&request.request, OwnAnswer::Complete { tag }),
+                    Some(tag) => proxy_answer(&request.request, ProxyAnswer::Complete { tag }),
                     None => Bytes::new(),
                 };
                 if let Some(floor) = floor {
-                    session.raise_floor(floor);
+                    session.raise_required_position(floor);
                 }
-                self.keep_transaction(id, &attempt, transaction, lane);
+                self.update_transaction(id, &attempt, transaction, lane);
                 self.finish_request(id, error, answer);
             }
             WorkReply::Declined { reason, age, wait } => {
-                self.entry.hints.heard(now, &database, age, wait);
+                self.entry.hints.update_status(now, &database, age, wait);
                 match session.transaction.is_some() {
                     true => self.end_transaction(id, "a statement of it was declined"),
                     false => self.request_declined(id, &cluster, &attempt, reason, age),
@@ -66,7 +66,7 @@
             WorkReply::RolledBack { message } => self.end_transaction(id, &message),
             WorkReply::Unknown { message } => self.write_outcome_unknown(id, &database, &message),
             WorkReply::ReadFailed { relayed, message } => {
-                self.answer_broke_off(id, &database, relayed, &message);
+                self.answer_interrupted(id, &database, relayed, &message);
             }
         }
     }
@@ -78,14 +78,14 @@
         if request.key.is_none() || session.transaction.is_some() {
             return self.finish_unknown(id, message);
         }
-        request.maybe_ran = true;
+        request.may_have_run = true;
         self.entry.hints.clear_leader(&session.cluster, database);
         self.count("requests.retried", 1);
-        self.try_elsewhere(id, database);
+        self.try_other_database(id, database);
     }
 
     /// The answer broke off; a read of which nothing was relayed is tried again.
-    fn answer_broke_off(&mut self, id: SessionId, database: &Name, relayed: bool, message: &str) {
+    fn answer_interrupted(&mut self, id: SessionId, database: &Name, relayed: bool, message: &str) {
         let now = self.now;
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(request) = session.request.as_mut() else { return };
@@ -95,13 +95,13 @@
         if session.transaction.is_some() {
             return self.end_transaction(id, message);
         }
-        request.broke_off = true;
+        request.interrupted = true;
         let rank = request.policy.rank;
         let cancelled = request.cancelled;
-        self.entry.hints.avoid(now, database);
+        self.entry.hints.exclude(now, database);
         if !relayed && !cancelled && self.entry.budget.take_retry(now, rank) {
             self.count("requests.retried", 1);
-            self.try_elsewhere(id, database);
+            self.try_other_database(id, database);
         } else {
             let code = if cancelled { "57014" } else { "08006" };
             let error = error(code, format!("the read broke off: {message}"));
@@ -110,7 +110,7 @@
     }
 
     /// Keeps, or ends, the session's transaction after an answer.
-    fn keep_transaction(
+    fn update_transaction(
         &mut self,
         id: SessionId,
         attempt: &EntryAttempt,
@@ -118,15 +118,15 @@
         lane: Option<LaneId>,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let wrote = session.request.as_ref().is_some_and(|request| request.writes)
-            || session.transaction.as_ref().is_some_and(|transaction| transaction.wrote);
+        let has_written = session.request.as_ref().is_some_and(|request| request.may_write)
+            || session.transaction.as_ref().is_some_and(|transaction| transaction.has_written);
         let held_lane = session.transaction.as_ref().and_then(|transaction| transaction.lane);
         session.transaction = (state != TransactionState::Idle).then(|| SessionTransaction {
             database: attempt.database.clone(),
             owner: attempt.owner.clone(),
             lane: lane.or(held_lane),
             state,
-            wrote,
+            has_written,
         });
         if state == TransactionState::Idle
             && let Some(lane) = held_lane.or(lane)
@@ -144,7 +144,7 @@
         }
         let code = if cancelled { "57014" } else { "WK004" };
         let error = error(code, format!("the transaction was rolled back: {message}"));
-        self.refused(id);
+        self.count_refusal(id);
         self.finish_request(id, Some(error), Bytes::new());
     }
 
@@ -181,8 +181,8 @@
     /// The deadline passed, or the caller cancelled, while the request was nowhere.
     pub(super) fn finish_not_run(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
-        let ran = request.maybe_ran;
-        if request.broke_off && !request.cancelled {
+        let ran = request.may_have_run;
+        if request.interrupted && !request.cancelled {
             let message = "the read broke off and its deadline passed during a retry";
             return self.finish_request(id, Some(error("08006", message)), Bytes::new());
         }
@@ -192,7 +192,7 @@
             (false, true) => error("WK003", "not run: the cluster has no reachable primary"),
             (false, false) => error("WK001", "not run: the deadline passed"),
         };
-        self.refused(id);
+        self.count_refusal(id);
         self.finish_request(id, Some(error), Bytes::new());
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// Counts a request that was not run.
-    pub(super) fn refused(&mut self, id: SessionId) {
+    pub(super) fn count_refusal(&mut self, id: SessionId) {
         self.count("requests.refused", 1);
         if let Some(session) = self.sessions.get(&id) {
             let (caller, rank) = (session.caller.clone(), session.policy.rank);
@@ -234,7 +234,7 @@
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if let Some(request) = session.request.take() {
             let outcome = error.as_ref().map_or("done", |error| error.code.as_str());
-            session.remember(json!({
+            session.record_request(json!({
                 "selector": request.policy.selector,
                 "rank": request.policy.rank,
                 "read": request.read,
--- a/crates/node/src/entry/retry.rs
+++ b/crates/node/src/entry/retry.rs
@@ -4,7 +4,7 @@
 use model::{Micros, Name};
 use stats::CallerMeasure;
 
-use super::{AttemptPath, EntryAttempt, FLOOR_PAUSE, LONGEST_BACKOFF, error};
+use super::{AttemptPath, EntryAttempt, MAX_BACKOFF, REPLICA_LAG_BACKOFF, error};
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
@@ -13,11 +13,11 @@
 
 impl Node {
     /// All databases declined: waits before the next turn.
-    pub(super) fn pause_request(&mut self, id: SessionId) {
+    pub(super) fn schedule_retry(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
         let pause = request.backoff;
-        request.backoff = (pause + pause).min(LONGEST_BACKOFF);
-        request.tried.clear();
+        request.backoff = (pause + pause).min(MAX_BACKOFF);
+        request.declined_by.clear();
         let waits = !request.read || request.primary_only;
         let pause = self.random.jitter(pause);
         let retry_at = self.now + pause;
@@ -33,11 +33,11 @@
     }
 
     /// Tries the next database at once.
-    pub(super) fn try_elsewhere(&mut self, id: SessionId, database: &Name) {
+    pub(super) fn try_other_database(&mut self, id: SessionId, database: &Name) {
         if let Some(request) = self.request_mut(id) {
             request.attempt = None;
-            if !request.tried.contains(database) {
-                request.tried.push(database.clone());
+            if !request.declined_by.contains(database) {
+                request.declined_by.push(database.clone());
             }
         }
         self.arm_session(id);
@@ -45,7 +45,7 @@
     }
 
     /// A leader is known: requests that wait for one go on.
-    pub(crate) fn leader_heard(&mut self, cluster: &Name, leader: &Name) {
+    pub(crate) fn leader_learned(&mut self, cluster: &Name, leader: &Name) {
         if !self.entry.hints.set_leader(self.now, cluster, leader) {
             return;
         }
@@ -107,47 +107,47 @@
         let read = request.read;
         request.no_primary = false;
         match reason {
-            DeclineReason::NoProof => self.proof_missing(id, cluster, &database, age),
+            DeclineReason::NoProof => self.read_proof_missing(id, cluster, &database, age),
             DeclineReason::NotLeader { leader } => {
                 request.no_primary = true;
                 self.entry.hints.clear_leader(cluster, &database);
                 if let Some(leader) = leader.filter(|leader| *leader != database) {
-                    self.leader_heard(cluster, &leader);
+                    self.leader_learned(cluster, &leader);
                 }
             }
             DeclineReason::Unavailable => {
                 request.no_primary = true;
-                self.entry.hints.avoid(now, &database);
+                self.entry.hints.exclude(now, &database);
                 self.entry.hints.clear_leader(cluster, &database);
             }
             // Members disagree for the time of a heartbeat or two.
             DeclineReason::NotOwner { .. } | DeclineReason::Leaving => {
-                self.entry.hints.avoid(now, &database);
+                self.entry.hints.exclude(now, &database);
             }
             DeclineReason::QueueFull { limit } => {
-                self.entry.hints.avoid(now, &database);
+                self.entry.hints.exclude(now, &database);
                 if !read || self.known_leader(cluster).as_ref() == Some(&database) {
                     let message = format!("not run: the queue of {limit} requests is full");
-                    self.refused(id);
+                    self.count_refusal(id);
                     return self.finish_request(id, Some(error("WK002", message)), Bytes::new());
                 }
             }
             DeclineReason::Deadline { expected } => {
-                self.entry.hints.avoid(now, &database);
+                self.entry.hints.exclude(now, &database);
                 if !read || self.known_leader(cluster).as_ref() == Some(&database) {
                     let message = format!(
                         "not run: the deadline cannot be met, the expected wait is {expected}"
                     );
-                    self.refused(id);
+                    self.count_refusal(id);
                     return self.finish_request(id, Some(error("WK001", message)), Bytes::new());
                 }
             }
         }
-        self.try_elsewhere(id, &database);
+        self.try_other_database(id, &database);
     }
 
     /// The database could not prove what the read needs; the next try is at the primary.
-    fn proof_missing(
+    fn read_proof_missing(
         &mut self,
         id: SessionId,
         cluster: &Name,
@@ -163,8 +163,10 @@
         // A provable age that would do means that only this session's floor is missing, which says
         // nothing about the reads of others. An age that would not do is a hint already.
         match age {
-            None => self.entry.hints.avoid(now, database),
-            Some(age) if age <= max_age && !led => session.primary_until = now + FLOOR_PAUSE,
+            None => self.entry.hints.exclude(now, database),
+            Some(age) if age <= max_age && !led => {
+                session.primary_until = now + REPLICA_LAG_BACKOFF
+            }
             Some(_) => {}
         }
         if !led {
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -4,7 +4,7 @@
 use model::{Micros, Name};
 use route::{WorkPolicy, choose_database};
 
-use super::{ANSWER_GRACE, AttemptPath, EntryAttempt, EntryCall, EntryRequest};
+use super::{ANSWER_GRACE, AttemptPath, EntryAttempt, EntryRequest, ForwardedCall};
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
@@ -15,7 +15,7 @@
 
 /// Where a request goes next.
 enum RouteTarget {
-    Own,
+    Local,
     Peer(MemberInfo),
 }
 
@@ -31,7 +31,7 @@
             let (database, owner) = (transaction.database.clone(), transaction.owner.clone());
             let lane = transaction.lane;
             return match lane {
-                None => self.send_request(id, database, RouteTarget::Own, true, None),
+                None => self.send_request(id, database, RouteTarget::Local, true, None),
                 Some(lane) => match self.members.member(&owner).cloned() {
                     Some(peer) => {
                         self.send_request(id, database, RouteTarget::Peer(peer), true, Some(lane));
@@ -44,22 +44,22 @@
             return self.finish_not_run(id);
         }
         let Some((database, reason)) = self.choose_target(session, request) else {
-            return self.pause_request(id);
+            return self.schedule_retry(id);
         };
-        let Some(fleet) = self.fleet.active.clone() else { return self.pause_request(id) };
+        let Some(fleet) = self.fleet.active.clone() else { return self.schedule_retry(id) };
         let Some((_, config)) = fleet.database(&database) else {
-            return self.pause_request(id);
+            return self.schedule_retry(id);
         };
         let owner = self.members.owner_of(&database, &config.data_centre);
         if let Some(request) = self.request_mut(id) {
             request.route = (database.clone(), reason);
         }
         if owner == self.settings.name {
-            self.send_request(id, database, RouteTarget::Own, false, None);
+            self.send_request(id, database, RouteTarget::Local, false, None);
         } else if let Some(peer) = self.members.member(&owner).cloned() {
             self.send_request(id, database, RouteTarget::Peer(peer), false, None);
         } else {
-            self.try_elsewhere(id, &database);
+            self.try_other_database(id, &database);
         }
     }
 
@@ -72,7 +72,7 @@
         let fleet = self.fleet.active.as_ref()?;
         let cluster = fleet.cluster(&session.cluster)?;
         let leader = self.known_leader(&session.cluster);
-        let free = |database: &Name| !request.tried.contains(database);
+        let free = |database: &Name| !request.declined_by.contains(database);
         if request.read {
             let mut hints = self.entry.hints.cluster(self.now, cluster, leader.as_ref());
             for hint in &mut hints {
@@ -86,7 +86,7 @@
                 false => choose_database(
                     &request.policy,
                     true,
-                    session.floor(),
+                    session.required_position(),
                     &self.settings.data_centre,
                     &hints,
                 ),
@@ -108,7 +108,7 @@
     /// The leader that replies or the own watch name.
     pub(crate) fn known_leader(&self, cluster: &str) -> Option<Name> {
         let hinted = self.entry.hints.leader(cluster).cloned();
-        hinted.or_else(|| self.clusters.get(cluster)?.watch.view(self.now).leader)
+        hinted.or_else(|| self.clusters.get(cluster)?.monitor.view(self.now).leader)
     }
 
     fn send_request(
@@ -121,10 +121,10 @@
     ) {
         let now = self.now;
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let floor = session.floor();
+        let floor = session.required_position();
         let Some(request) = session.request.as_mut() else { return };
         let arrived_ago =
-            (floor.is_none() && !session.with_token).then(|| now.saturating_sub(session.arrived));
+            (floor.is_none() && !session.has_token).then(|| now.saturating_sub(session.arrived));
         let needs_primary = request.policy.max_age == Micros::ZERO || request.primary_only;
         let work = Box::new(WorkRequest {
             database: database.clone(),
@@ -145,11 +145,11 @@
         });
         request.retry_at = None;
         if let Some(transaction) = &mut session.transaction {
-            transaction.wrote |= request.writes;
+            transaction.has_written |= request.may_write;
         }
         self.entry.stop_waiting(&session.cluster, id);
         let (owner, path) = match target {
-            RouteTarget::Own => {
+            RouteTarget::Local => {
                 let pin = in_transaction.then_some(PinKey::Session(id));
                 let work = self.admit_owner_request(RequestOrigin::Session(id), None, pin, *work);
                 (self.settings.name.clone(), AttemptPath::Local(work))
@@ -157,7 +157,7 @@
             RouteTarget::Peer(to) => {
                 let call = CallId(self.next_id());
                 let owner = to.name.clone();
-                self.entry.calls.insert(call, EntryCall { session: id, to: owner.clone() });
+                self.entry.calls.insert(call, ForwardedCall { session: id, to: owner.clone() });
                 self.count("requests.forwarded", 1);
                 self.emit(NodeAction::Forward { call, session: id, to, lane, work });
                 (owner, AttemptPath::Remote(call))
@@ -187,7 +187,7 @@
     }
 
     /// The timer of a session's request.
-    pub(crate) fn session_due(&mut self, id: SessionId) {
+    pub(crate) fn session_timer_due(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
         request.timer_due = None;
         match request.attempt.as_ref().map(|attempt| attempt.path) {
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -227,7 +227,7 @@
         match cluster.filter(|cluster| self.clusters.contains_key(cluster)) {
             Some(cluster) => {
                 let event = WatchEvent::CommitFinished { commit, term, durable };
-                self.handle_watch(&cluster, event);
+                self.handle_monitor_event(&cluster, event);
             }
             None => self.outcome_unknown(commit),
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -13,15 +13,15 @@
 use crate::action::{LogLevel, NodeAction};
 
 /// Document with the operators' configuration.
-pub(crate) const CONFIG: &str = "config";
+pub(crate) const CONFIG_DOCUMENT: &str = "config";
 /// Document with the keys that session tokens are signed with.
-pub(crate) const TOKEN_KEYS: &str = "token-keys";
+pub(crate) const TOKEN_KEYS_DOCUMENT: &str = "token-keys";
 /// Prefix of the platform's keys.
 const KEY_PREFIX: &str = "cicadawick/";
 
 /// Time for which a node holds a key before it signs with it. Changes are active everywhere within
 /// 17 s; a token signed with a key that another node does not know yet would count as forged there.
-const KEY_DELAY: Micros = Micros::from_secs(20);
+const SIGNING_KEY_DELAY: Micros = Micros::from_secs(20);
 
 /// What the node holds and what is active of it.
 #[derive(Default)]
@@ -31,7 +31,7 @@
     pub selectors: SelectorTable,
     pub keys: TokenKeys,
     /// When this node first held each of `keys`.
-    keys_since: Vec<Micros>,
+    keys_held_since: Vec<Micros>,
     /// A held revision that cannot be activated.
     pub rejected: Option<u64>,
 }
@@ -51,17 +51,17 @@
 
     /// The key to sign with: the last one that was held long enough, else the first one.
     pub(crate) fn signing_key(&self, now: Micros) -> TokenKeys {
-        let held = |since: &Micros| now >= *since + KEY_DELAY;
-        let index = self.keys_since.iter().rposition(held).unwrap_or(0);
+        let held = |since: &Micros| now >= *since + SIGNING_KEY_DELAY;
+        let index = self.keys_held_since.iter().rposition(held).unwrap_or(0);
         TokenKeys(self.keys.0.get(index).cloned().into_iter().collect())
     }
 
     fn replace_keys(&mut self, now: Micros, keys: TokenKeys) {
         let known = |key: &TokenKey| {
             let index = self.keys.0.iter().position(|other| other == key);
-            index.and_then(|index| self.keys_since.get(index).copied())
+            index.and_then(|index| self.keys_held_since.get(index).copied())
         };
-        self.keys_since = keys.0.iter().map(|key| known(key).unwrap_or(now)).collect();
+        self.keys_held_since = keys.0.iter().map(|key| known(key).unwrap_or(now)).collect();
         self.keys = keys;
     }
 }
@@ -69,19 +69,19 @@
 /// A document of token keys: a list, or an object with a revision and a list.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum KeysText {
-    List(Vec<KeyText>),
-    Revised { revision: u64, keys: Vec<KeyText> },
+enum KeysDocument {
+    List(Vec<KeyEntry>),
+    Revised { revision: u64, keys: Vec<KeyEntry> },
 }
 
 #[derive(Deserialize)]
-struct KeyText {
+struct KeyEntry {
     id: u32,
     secret: String,
 }
 
-impl KeyText {
-    fn read(&self) -> Option<TokenKey> {
+impl KeyEntry {
+    fn parse(&self) -> Option<TokenKey> {
         let digits = self.secret.as_bytes();
         if digits.len() != 64 {
             return None;
@@ -96,19 +96,19 @@
     }
 }
 
-impl KeysText {
+impl KeysDocument {
     /// A plain list has no revision; its highest id stands for one, because keys are only ever added
     /// with a higher id.
     fn revision(&self) -> u64 {
         match self {
-            KeysText::List(keys) => keys.iter().map(|key| u64::from(key.id)).max().unwrap_or(0),
-            KeysText::Revised { revision, .. } => *revision,
+            KeysDocument::List(keys) => keys.iter().map(|key| u64::from(key.id)).max().unwrap_or(0),
+            KeysDocument::Revised { revision, .. } => *revision,
         }
     }
 
     fn keys(&self) -> Option<TokenKeys> {
-        let (KeysText::List(keys) | KeysText::Revised { keys, .. }) = self;
-        keys.iter().map(KeyText::read).collect::<Option<Vec<_>>>().map(TokenKeys)
+        let (KeysDocument::List(keys) | KeysDocument::Revised { keys, .. }) = self;
+        keys.iter().map(KeyEntry::parse).collect::<Option<Vec<_>>>().map(TokenKeys)
     }
 }
 
@@ -118,8 +118,12 @@
         let document = document.strip_prefix(KEY_PREFIX).unwrap_or(document);
         let Some(bytes) = bytes else { return };
         let revision = match document {
-            CONFIG => ChangeEnvelope::from_bytes(bytes).ok().map(|envelope| envelope.revision),
-            TOKEN_KEYS => serde_json::from_slice(bytes).ok().map(|keys: KeysText| keys.revision()),
+            CONFIG_DOCUMENT => {
+                ChangeEnvelope::from_bytes(bytes).ok().map(|envelope| envelope.revision)
+            }
+            TOKEN_KEYS_DOCUMENT => {
+                serde_json::from_slice(bytes).ok().map(|keys: KeysDocument| keys.revision())
+            }
             _ => None,
         };
         match revision {
@@ -134,18 +138,18 @@
 
     /// Takes a document if its revision is higher than the one held.
     pub(crate) fn offer_document(&mut self, document: &Name, revision: u64, bytes: &[u8]) {
-        if &**document != CONFIG && &**document != TOKEN_KEYS {
+        if &**document != CONFIG_DOCUMENT && &**document != TOKEN_KEYS_DOCUMENT {
             return;
         }
         match self.fleet.documents.offer(document, revision, bytes) {
             DocumentOffer::Newer => {
-                if &**document == CONFIG {
+                if &**document == CONFIG_DOCUMENT {
                     self.activate_config(revision, bytes);
                 } else {
                     self.activate_keys(revision, bytes);
                 }
                 let event = MemberEvent::DocumentHeld { document: document.clone(), revision };
-                self.handle_member(event);
+                self.handle_member_event(event);
             }
             DocumentOffer::Same => {}
             DocumentOffer::Older => self.count("documents.older", 1),
@@ -155,7 +159,7 @@
     fn activate_config(&mut self, revision: u64, bytes: &[u8]) {
         let parsed = ChangeEnvelope::from_bytes(bytes).map_err(|error| error.to_string()).and_then(
             |envelope| {
-                parse_fleet(CONFIG, &envelope.text, revision)
+                parse_fleet(CONFIG_DOCUMENT, &envelope.text, revision)
                     .map_err(|errors| errors.first().map(ToString::to_string).unwrap_or_default())
             },
         );
@@ -166,7 +170,7 @@
                 self.fleet.rejected = None;
                 self.count("configurations.activated", 1);
                 self.log(LogLevel::Info, format!("configuration {revision} is active"));
-                self.sync_owned();
+                self.update_owned_databases();
             }
             Err(reason) => {
                 self.fleet.rejected = Some(revision);
@@ -178,7 +182,7 @@
     }
 
     fn activate_keys(&mut self, revision: u64, bytes: &[u8]) {
-        let keys = serde_json::from_slice::<KeysText>(bytes).ok().and_then(|text| text.keys());
+        let keys = serde_json::from_slice::<KeysDocument>(bytes).ok().and_then(|text| text.keys());
         match keys {
             Some(keys) => self.fleet.replace_keys(self.now, keys),
             None => {
@@ -190,7 +194,7 @@
     }
 
     /// Brings owned databases and watches in line with the configuration and the members.
-    pub(crate) fn sync_owned(&mut self) {
+    pub(crate) fn update_owned_databases(&mut self) {
         let Some(fleet) = self.fleet.active.clone() else { return };
         let own = self.settings.name.clone();
         let mut owned = BTreeSet::new();
@@ -218,16 +222,16 @@
         }
         self.entry.hints.retain(|database| fleet.database(database).is_some());
         self.close_surplus_connections();
-        self.forget_clusters();
+        self.remove_unused_clusters();
     }
 
     /// Drops the watch of each cluster of which this node serves no database.
-    pub(crate) fn forget_clusters(&mut self) {
+    pub(crate) fn remove_unused_clusters(&mut self) {
         let services = &self.owner.services;
         self.clusters.retain(|name, _| services.values().any(|service| service.cluster == *name));
     }
 
-    pub(crate) fn handle_member(&mut self, event: MemberEvent) {
+    pub(crate) fn handle_member_event(&mut self, event: MemberEvent) {
         let mut actions = Vec::new();
         self.members.handle(self.now, event, &mut actions);
         for action in actions {
@@ -241,7 +245,7 @@
                 }
                 MemberAction::OwnersChanged => {
                     self.count("owners.changed", 1);
-                    self.sync_owned();
+                    self.update_owned_databases();
                 }
                 MemberAction::MemberLost(name) => self.member_lost(&name),
             }
@@ -256,11 +260,11 @@
             true => MemberEvent::HeartbeatAnswered(heartbeat),
             false => MemberEvent::PeerFound(heartbeat),
         };
-        self.handle_member(event);
+        self.handle_member_event(event);
     }
 
     pub(crate) fn vm_list(&mut self, rows: Vec<PlatformVm>) {
-        self.handle_member(MemberEvent::VmListArrived(rows));
+        self.handle_member_event(MemberEvent::VmListArrived(rows));
     }
 
     fn member_lost(&mut self, name: &Name) {
@@ -283,10 +287,10 @@
     /// Starts or stops the platform's watches as this node becomes, or no longer is, the watcher.
     pub(crate) fn update_watcher(&mut self) {
         let watcher = self.members.watcher_of(&self.settings.data_centre);
-        let watching = watcher.as_ref() == Some(&self.settings.name);
-        if watching != self.watching {
-            self.watching = watching;
-            self.emit(NodeAction::WatchPlatform(watching));
+        let is_watcher = watcher.as_ref() == Some(&self.settings.name);
+        if is_watcher != self.is_watcher {
+            self.is_watcher = is_watcher;
+            self.emit(NodeAction::WatchPlatform(is_watcher));
         }
     }
 }
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -11,7 +11,7 @@
 
 /// An answer that the proxy makes itself.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum OwnAnswer<'a> {
+pub(crate) enum ProxyAnswer<'a> {
     Complete { tag: &'a str },
     Row { column: &'a str, value: &'a str },
     EmptyQuery,
@@ -27,11 +27,11 @@
 }
 
 /// Makes the messages that answer a request, without `ReadyForQuery`.
-pub(crate) fn own_answer(request: &CallerRequest, answer: OwnAnswer<'_>) -> Bytes {
+pub(crate) fn proxy_answer(request: &CallerRequest, answer: ProxyAnswer<'_>) -> Bytes {
     let mut frames = BytesMut::new();
     match request.kind {
         RequestKind::Simple => {
-            if let OwnAnswer::Row { column, .. } = answer {
+            if let ProxyAnswer::Row { column, .. } = answer {
                 put_description(&mut frames, column);
             }
             put_result(&mut frames, answer);
@@ -47,7 +47,7 @@
                             put_message(&mut frames, b't', |body| body.put_u16(0));
                         }
                         match answer {
-                            OwnAnswer::Row { column, .. } => put_description(&mut frames, column),
+                            ProxyAnswer::Row { column, .. } => put_description(&mut frames, column),
                             _ => put_message(&mut frames, b'n', |_| {}),
                         }
                     }
@@ -128,11 +128,11 @@
     });
 }
 
-fn put_result(frames: &mut BytesMut, answer: OwnAnswer<'_>) {
+fn put_result(frames: &mut BytesMut, answer: ProxyAnswer<'_>) {
     match answer {
-        OwnAnswer::EmptyQuery => put_message(frames, b'I', |_| {}),
-        OwnAnswer::Complete { tag } => put_message(frames, b'C', |body| put_text(body, tag)),
-        OwnAnswer::Row { value, .. } => {
+        ProxyAnswer::EmptyQuery => put_message(frames, b'I', |_| {}),
+        ProxyAnswer::Complete { tag } => put_message(frames, b'C', |body| put_text(body, tag)),
+        ProxyAnswer::Row { value, .. } => {
             put_message(frames, b'D', |body| {
                 body.put_u16(1);
                 body.put_u32(value.len() as u32);
--- a/crates/node/src/hints.rs
+++ b/crates/node/src/hints.rs
@@ -1,92 +1,94 @@
-//! What the entry side last heard of databases and leaders.
+//! Hints that the entry side takes from replies: database status and the leader of each cluster.
 
 use model::{ClusterConfig, FastMap, Micros, Name};
 use route::DatabaseHint;
 
-/// Time for which a hint is believed, and for which a database that declined is avoided.
-const HINT_LIFE: Micros = Micros::from_secs(1);
+/// Time for which a hint is used, and for which a database that declined is excluded.
+const HINT_TTL: Micros = Micros::from_secs(1);
 
-/// Least time between two changes of a leader that requests are woken for. Owners that contradict each
-/// other would otherwise have all requests that wait ask them in turn without a pause.
-const CHANGE_INTERVAL: Micros = Micros::from_millis(20);
+/// Minimum interval between two leader changes that wake waiting requests. When owners contradict each
+/// other, waiting requests would otherwise ask them in turn without a pause.
+const MIN_LEADER_CHANGE_INTERVAL: Micros = Micros::from_millis(20);
 
 #[derive(Debug)]
-struct LeaderNews {
+struct LeaderHint {
     leader: Name,
-    /// No owner has denied it since.
-    believed: bool,
-    changed: Micros,
+    /// No owner has contradicted the hint since it was set.
+    valid: bool,
+    changed_at: Micros,
 }
 
 #[derive(Debug, Default)]
-struct DatabaseNews {
-    heard: Micros,
+struct DatabaseStatus {
+    updated_at: Micros,
     age: Option<Micros>,
     wait: Micros,
-    avoid_until: Micros,
+    excluded_until: Micros,
 }
 
-/// Hints from replies. They only steer choices; the owners check everything.
+/// Hints from replies. They only influence routing; the owners check every request.
 #[derive(Debug, Default)]
 pub(crate) struct HintTable {
-    databases: FastMap<Name, DatabaseNews>,
-    leaders: FastMap<Name, LeaderNews>,
+    databases: FastMap<Name, DatabaseStatus>,
+    leaders: FastMap<Name, LeaderHint>,
 }
 
 impl HintTable {
-    pub(crate) fn heard(
+    pub(crate) fn update_status(
         &mut self,
         now: Micros,
         database: &Name,
         age: Option<Micros>,
         wait: Micros,
     ) {
-        let news = self.databases.entry(database.clone()).or_default();
-        news.heard = now;
-        news.age = age;
-        news.wait = wait;
+        let status = self.databases.entry(database.clone()).or_default();
+        status.updated_at = now;
+        status.age = age;
+        status.wait = wait;
     }
 
-    pub(crate) fn avoid(&mut self, now: Micros, database: &Name) {
-        self.databases.entry(database.clone()).or_default().avoid_until = now + HINT_LIFE;
+    /// Excludes a database from the choices for [`HINT_TTL`].
+    pub(crate) fn exclude(&mut self, now: Micros, database: &Name) {
+        self.databases.entry(database.clone()).or_default().excluded_until = now + HINT_TTL;
     }
 
     pub(crate) fn leader(&self, cluster: &str) -> Option<&Name> {
-        self.leaders.get(cluster).filter(|news| news.believed).map(|news| &news.leader)
+        self.leaders.get(cluster).filter(|hint| hint.valid).map(|hint| &hint.leader)
     }
 
-    /// Returns whether it is another leader than the last one, believed or not: a leader that just
-    /// declined and is named again is no reason to wake requests that wait.
+    /// Sets the leader and returns whether waiting requests should be woken: the leader differs from
+    /// the last one, valid or not. A leader that has just declined and is named again must not wake
+    /// them.
     pub(crate) fn set_leader(&mut self, now: Micros, cluster: &Name, leader: &Name) -> bool {
         match self.leaders.get_mut(cluster) {
-            Some(news) if news.leader == *leader => {
-                news.believed = true;
+            Some(hint) if hint.leader == *leader => {
+                hint.valid = true;
                 false
             }
-            Some(news) => {
-                let wakes = now.saturating_sub(news.changed) >= CHANGE_INTERVAL;
-                *news = LeaderNews { leader: leader.clone(), believed: true, changed: now };
+            Some(hint) => {
+                let wakes = now.saturating_sub(hint.changed_at) >= MIN_LEADER_CHANGE_INTERVAL;
+                *hint = LeaderHint { leader: leader.clone(), valid: true, changed_at: now };
                 wakes
             }
             None => {
-                let news = LeaderNews { leader: leader.clone(), believed: true, changed: now };
-                self.leaders.insert(cluster.clone(), news);
+                let hint = LeaderHint { leader: leader.clone(), valid: true, changed_at: now };
+                self.leaders.insert(cluster.clone(), hint);
                 true
             }
         }
     }
 
-    /// Stops believing in the leader if it still is this database.
+    /// Invalidates the leader hint if it names this database.
     pub(crate) fn clear_leader(&mut self, cluster: &str, database: &Name) {
-        if let Some(news) = self.leaders.get_mut(cluster).filter(|news| news.leader == *database) {
-            news.believed = false;
+        if let Some(hint) = self.leaders.get_mut(cluster).filter(|hint| hint.leader == *database) {
+            hint.valid = false;
         }
     }
 
-    /// Forgets databases and clusters for which `known` is false.
+    /// Removes databases and clusters for which `known` is false.
     pub(crate) fn retain(&mut self, known: impl Fn(&Name) -> bool) {
         self.databases.retain(|database, _| known(database));
-        self.leaders.retain(|_, news| known(&news.leader));
+        self.leaders.retain(|_, hint| known(&hint.leader));
     }
 
     /// Returns the hints for a cluster's databases.
@@ -100,16 +102,17 @@
             .databases
             .iter()
             .map(|database| {
-                let news = self.databases.get(&database.name);
-                let fresh = news.filter(|news| now.saturating_sub(news.heard) <= HINT_LIFE);
+                let status = self.databases.get(&database.name);
+                let fresh =
+                    status.filter(|status| now.saturating_sub(status.updated_at) <= HINT_TTL);
                 DatabaseHint {
                     database: database.name.clone(),
                     data_centre: database.data_centre.clone(),
                     leader: leader == Some(&database.name),
                     leaving: database.leaving,
-                    age: fresh.and_then(|news| news.age),
-                    wait: fresh.map(|news| news.wait).unwrap_or_default(),
-                    avoid: news.is_some_and(|news| news.avoid_until > now),
+                    age: fresh.and_then(|status| status.age),
+                    wait: fresh.map(|status| status.wait).unwrap_or_default(),
+                    avoid: status.is_some_and(|status| status.excluded_until > now),
                     labels: database.labels.clone(),
                 }
             })
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -49,7 +49,7 @@
     TransactionState, WorkReply, WorkRequest,
 };
 
-use cluster::{ClusterState, ReportUse};
+use cluster::{ClusterState, PendingReport};
 use drain::DrainState;
 use entry::EntryState;
 use fleet::FleetState;
@@ -69,7 +69,7 @@
 pub struct Node {
     settings: NodeSettings,
     now: Micros,
-    out: Vec<NodeAction>,
+    actions: Vec<NodeAction>,
     steps: VecDeque<PendingStep>,
     random: SeededRandom,
     last_id: u64,
@@ -80,12 +80,12 @@
     entry: EntryState,
     owner: OwnerState,
     clusters: BTreeMap<Name, ClusterState>,
-    reports: FastMap<ReportId, ReportUse>,
+    reports: FastMap<ReportId, PendingReport>,
     accounts: CallerTable,
     counters: BTreeMap<&'static str, u64>,
     drain: DrainState,
-    watching: bool,
-    housekeeping: Micros,
+    is_watcher: bool,
+    next_housekeeping: Micros,
 }
 
 impl Node {
@@ -119,7 +119,7 @@
         };
         Node {
             now: Micros::ZERO,
-            out: Vec::new(),
+            actions: Vec::new(),
             steps: VecDeque::new(),
             random: SeededRandom::new(seed),
             last_id: 0,
@@ -134,8 +134,8 @@
             accounts: CallerTable::new(ACCOUNTED_CALLERS),
             counters: BTreeMap::new(),
             drain: DrainState::default(),
-            watching: false,
-            housekeeping: Micros::ZERO,
+            is_watcher: false,
+            next_housekeeping: Micros::ZERO,
             settings,
         }
     }
@@ -144,7 +144,7 @@
     /// do to `actions`, in order.
     pub fn handle(&mut self, now: Micros, event: NodeEvent, actions: &mut Vec<NodeAction>) {
         self.now = self.now.max(now);
-        std::mem::swap(&mut self.out, actions);
+        std::mem::swap(&mut self.actions, actions);
         self.dispatch(event);
         while let Some(step) = self.steps.pop_front() {
             match step {
@@ -157,7 +157,7 @@
         }
         self.check_drained();
         self.drop_stale_timers();
-        std::mem::swap(&mut self.out, actions);
+        std::mem::swap(&mut self.actions, actions);
     }
 
     fn dispatch(&mut self, event: NodeEvent) {
@@ -184,14 +184,14 @@
             NodeEvent::PromoteAnswered { id, start } => self.promote_answered(id, start),
             NodeEvent::ReportFailed { id } => self.report_failed(id),
             NodeEvent::HeartbeatArrived(heartbeat) => {
-                self.handle_member(MemberEvent::HeartbeatArrived(heartbeat));
+                self.handle_member_event(MemberEvent::HeartbeatArrived(heartbeat));
             }
             NodeEvent::HeartbeatAnswered(heartbeat) => self.heartbeat_answered(heartbeat),
             NodeEvent::HeartbeatFailed { to } => {
-                self.handle_member(MemberEvent::HeartbeatFailed { to });
+                self.handle_member_event(MemberEvent::HeartbeatFailed { to });
             }
             NodeEvent::TableArrived(members) => {
-                self.handle_member(MemberEvent::TableArrived(members));
+                self.handle_member_event(MemberEvent::TableArrived(members));
             }
             NodeEvent::DocumentArrived { document, revision, bytes } => {
                 self.offer_document(&document, revision, &bytes);
@@ -229,9 +229,9 @@
     fn run_timers(&mut self) {
         let now = self.now;
         if self.members.next_timer().is_none_or(|due| due <= now) {
-            self.handle_member(MemberEvent::Timer);
+            self.handle_member_event(MemberEvent::Timer);
         }
-        self.cluster_timers();
+        self.run_cluster_timers();
         let mut expired: Vec<Name> = self
             .owner
             .services
@@ -248,27 +248,27 @@
         self.steps.extend(expired.into_iter().map(PendingStep::ServeQueue));
         while let Some((due, key)) = self.timers.first().filter(|(due, _)| *due <= now) {
             self.timers.remove_first();
-            if !self.timer_counts(due, key) {
+            if !self.is_timer_current(due, key) {
                 continue;
             }
             match key {
-                TimerKey::Session(session) => self.session_due(session),
-                TimerKey::OwnerRequest(id) => self.owner_request_due(id),
+                TimerKey::Session(session) => self.session_timer_due(session),
+                TimerKey::OwnerRequest(id) => self.owner_request_timer_due(id),
             }
         }
-        if self.housekeeping <= now {
-            self.housekeeping = now + HOUSEKEEPING_INTERVAL;
+        if self.next_housekeeping <= now {
+            self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
             self.update_watcher();
-            self.move_leaders();
+            self.start_switchovers();
             self.close_overdue_openings();
             self.close_surplus_connections();
-            self.forget_clusters();
-            self.forget_reports();
+            self.remove_unused_clusters();
+            self.expire_pending_reports();
         }
     }
 
     /// Tells whether a timer is still what its owner waits for.
-    fn timer_counts(&self, due: Micros, key: TimerKey) -> bool {
+    fn is_timer_current(&self, due: Micros, key: TimerKey) -> bool {
         let current = match key {
             TimerKey::Session(session) => self
                 .sessions
@@ -284,7 +284,7 @@
 
     fn drop_stale_timers(&mut self) {
         while let Some((due, key)) = self.timers.first() {
-            if self.timer_counts(due, key) {
+            if self.is_timer_current(due, key) {
                 return;
             }
             self.timers.remove_first();
@@ -296,7 +296,7 @@
         let clusters = self
             .clusters
             .values()
-            .flat_map(|state| [state.watch.next_timer(), state.supervisor.next_timer()]);
+            .flat_map(|state| [state.monitor.next_timer(), state.supervisor.next_timer()]);
         let queues = self
             .owner
             .services
@@ -312,7 +312,7 @@
                 self.members.next_timer(),
                 self.timers.first().map(|(due, _)| due),
                 drain,
-                Some(self.housekeeping),
+                Some(self.next_housekeeping),
             ])
             .flatten()
             .min()
@@ -340,20 +340,20 @@
 
     /// Returns this node's view of a cluster for another supervisor; `None` if it does not watch it.
     pub fn view(&self, now: Micros, cluster: &str) -> Option<failover::LeaderView> {
-        self.clusters.get(cluster).map(|state| state.watch.view(now.max(self.now)))
+        self.clusters.get(cluster).map(|state| state.monitor.view(now.max(self.now)))
     }
 
     fn emit(&mut self, action: NodeAction) {
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     fn count(&mut self, counter: &'static str, amount: u64) {
         *self.counters.entry(counter).or_default() += amount;
-        self.out.push(NodeAction::Count { counter, amount });
+        self.actions.push(NodeAction::Count { counter, amount });
     }
 
     fn log(&mut self, level: LogLevel, message: String) {
-        self.out.push(NodeAction::Log { level, message });
+        self.actions.push(NodeAction::Log { level, message });
     }
 
     fn next_id(&mut self) -> u64 {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -79,7 +79,7 @@
             "node": self.settings.name,
             "data_centre": self.settings.data_centre,
             "state": self.drain.name(),
-            "watcher": self.watching,
+            "watcher": self.is_watcher,
             "revision": self.fleet.revision(),
             "rejected": self.fleet.rejected,
             "documents": self.revisions(),
@@ -99,17 +99,19 @@
 
     fn dump_cluster(&self, now: Micros, name: &Name) -> Value {
         let Some(state) = self.clusters.get(name) else { return Value::Null };
-        let view = state.watch.view(now);
+        let view = state.monitor.view(now);
         let reports = state.config.databases.iter().map(|database| {
-            let (age, report) =
-                (state.watch.provable_age(now, &database.name), state.watch.report(&database.name));
+            let (age, report) = (
+                state.monitor.provable_age(now, &database.name),
+                state.monitor.report(&database.name),
+            );
             let lag = report.map(|(_, report)| {
                 json!({
                     "term": report.term,
                     "role": format!("{:?}", report.role).to_lowercase(),
                     "received": report.received.to_string(),
                     "applied": report.applied.to_string(),
-                    "behind_bytes": self.lag_bytes(name, &database.name),
+                    "behind_bytes": self.unapplied_bytes(name, &database.name),
                 })
             });
             let row = json!({
@@ -131,11 +133,11 @@
     }
 
     /// Log of the leader that a database has not applied yet.
-    fn lag_bytes(&self, cluster: &Name, database: &Name) -> Option<u64> {
-        let watch = &self.clusters.get(cluster)?.watch;
-        let leader = watch.view(self.now).leader?;
-        let (_, led) = watch.report(&leader)?;
-        let (_, report) = watch.report(database)?;
+    fn unapplied_bytes(&self, cluster: &Name, database: &Name) -> Option<u64> {
+        let monitor = &self.clusters.get(cluster)?.monitor;
+        let leader = monitor.view(self.now).leader?;
+        let (_, led) = monitor.report(&leader)?;
+        let (_, report) = monitor.report(database)?;
         Some(led.applied.0.saturating_sub(report.applied.0))
     }
 
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -29,7 +29,7 @@
     }
 
     /// The timer of work.
-    pub(crate) fn owner_request_due(&mut self, id: WorkId) {
+    pub(crate) fn owner_request_timer_due(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.timer_due = None;
         match request.stage {
@@ -212,7 +212,7 @@
         let age = self
             .clusters
             .get(&service.cluster)
-            .and_then(|cluster| cluster.watch.provable_age(self.now, &request.routed.database));
+            .and_then(|cluster| cluster.monitor.provable_age(self.now, &request.routed.database));
         (age, service.queue.expected_wait(self.now, request.routed.rank))
     }
 }
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -51,8 +51,8 @@
             }
             return ProofCheck::Decline(not_owner_reason(&self.fleet, &self.members, &database));
         };
-        let watch = self.clusters.get(&service.cluster).map(|cluster| &cluster.watch);
-        let view = watch.map(|watch| watch.view(now));
+        let monitor = self.clusters.get(&service.cluster).map(|cluster| &cluster.monitor);
+        let view = monitor.map(|monitor| monitor.view(now));
         if let Some(key) = request.pin {
             let Some(pin) = self.owner.pins.get(&key) else {
                 return ProofCheck::RollBack("its connection was lost".to_string());
@@ -67,7 +67,7 @@
         if !service.owned {
             return ProofCheck::Decline(not_owner_reason(&self.fleet, &self.members, &database));
         }
-        let (Some(watch), Some(view)) = (watch, view) else {
+        let (Some(monitor), Some(view)) = (monitor, view) else {
             return ProofCheck::Decline(DeclineReason::Unavailable);
         };
         let leads = view.leader.as_ref() == Some(&database);
@@ -88,7 +88,7 @@
         if !request.routed.read {
             return ProofCheck::Ready;
         }
-        check_read(request, watch, now, leads && confirmed)
+        check_read(request, monitor, now, leads && confirmed)
     }
 
     /// Has the work wait for a confirmed round that begins now or later.
@@ -102,7 +102,8 @@
         let cluster = service.cluster.clone();
         self.arm_owner_request(id, Some(deadline));
         // A round that began for others in this very step serves as well.
-        if let Some((at, commit)) = self.clusters.get(&cluster).and_then(|state| state.asked_round)
+        if let Some((at, commit)) =
+            self.clusters.get(&cluster).and_then(|state| state.requested_round)
             && at == self.now
             && let Some(CommitPurpose::Round(requests)) = self.owner.commits.get_mut(&commit)
         {
@@ -112,10 +113,10 @@
         let commit = CommitId(self.next_id());
         self.owner.commits.insert(commit, CommitPurpose::Round(vec![id]));
         if let Some(state) = self.clusters.get_mut(&cluster) {
-            state.asked_round = Some((self.now, commit));
+            state.requested_round = Some((self.now, commit));
         }
         let event = WatchEvent::CommitFinished { commit, term, durable: false };
-        self.handle_watch(&cluster, event);
+        self.handle_monitor_event(&cluster, event);
     }
 
     /// The first byte of an answer arrived: checks the proof again and decides.
@@ -155,7 +156,7 @@
             ReadProof::Primary { term } => {
                 let service = self.owner.services.get(&request.routed.database)?;
                 let view = self.clusters.get(&service.cluster).map(|cluster| {
-                    let view = cluster.watch.view(self.now);
+                    let view = cluster.monitor.view(self.now);
                     let confirmed =
                         view.confirmed_ago.is_some_and(|ago| ago <= MAX_LEADERSHIP_PROOF_AGE);
                     (view.term, view.leader, confirmed)
@@ -181,18 +182,18 @@
 /// was confirmed lately.
 fn check_read(
     request: &mut OwnerRequest,
-    watch: &ClusterWatch,
+    monitor: &ClusterWatch,
     now: Micros,
     primary: bool,
 ) -> ProofCheck {
-    let term = watch.view(now).term;
+    let term = monitor.view(now).term;
     let database = request.routed.database.clone();
     if request.routed.floor.is_none()
         && request.sampled_position.is_none()
         && let Some(ago) = request.routed.arrived_ago
     {
         let since = request.arrived.saturating_sub(ago);
-        request.sampled_position = watch.confirmed_floor(since);
+        request.sampled_position = monitor.confirmed_floor(since);
         if request.sampled_position.is_none() {
             return wait_for_round_or_decline(request);
         }
@@ -200,15 +201,15 @@
     if let Some(floor) =
         request.replacement_position.or(request.routed.floor).or(request.sampled_position)
     {
-        let mut state = watch.floor_state(&database, floor);
+        let mut state = monitor.floor_state(&database, floor);
         // Terms never decrease, so this round shows that the cluster was rebuilt or the floor is
         // not its own.
-        if floor.term > term && watch.confirmed_floor(request.arrived).is_some() {
-            state = FloorState::Lost { instead: watch.term_floor() };
+        if floor.term > term && monitor.confirmed_floor(request.arrived).is_some() {
+            state = FloorState::Lost { instead: monitor.term_floor() };
         }
         if let FloorState::Lost { instead } | FloorState::Uncertain { instead } = state {
             request.replacement_position = Some(instead);
-            state = watch.floor_state(&database, instead);
+            state = monitor.floor_state(&database, instead);
         }
         match state {
             FloorState::Met => {}
@@ -220,7 +221,7 @@
         request.proof = Some(ReadProof::Primary { term });
         return ProofCheck::Ready;
     }
-    match (request.routed.max_age, watch.provable_age(now, &database)) {
+    match (request.routed.max_age, monitor.provable_age(now, &database)) {
         (Some(limit), Some(age)) if age <= limit => {
             request.proof = Some(ReadProof::Replica { age, at: now, limit });
             ProofCheck::Ready
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -11,7 +11,7 @@
 use crate::Node;
 use crate::action::NodeAction;
 use crate::entry::EntryRequest;
-use crate::frames::{OwnAnswer, own_answer};
+use crate::frames::{ProxyAnswer, proxy_answer};
 use crate::id::{LaneId, SessionId};
 use crate::work::{CallerRequest, ErrorReply, SessionStart, TransactionState};
 
@@ -43,7 +43,7 @@
     pub lane: Option<LaneId>,
     pub state: TransactionState,
     /// A statement that may have changed something was sent.
-    pub wrote: bool,
+    pub has_written: bool,
 }
 
 /// One caller's connection.
@@ -61,7 +61,7 @@
     pub request_key: Option<Name>,
     pub token: SessionToken,
     /// The caller brought a valid token.
-    pub with_token: bool,
+    pub has_token: bool,
     pub arrived: Micros,
     /// Reads go to the primary until then, because a replica had not reached the session's floor.
     pub primary_until: Micros,
@@ -77,12 +77,12 @@
 }
 
 impl Session {
-    pub(crate) fn floor(&self) -> Option<SessionFloor> {
+    pub(crate) fn required_position(&self) -> Option<SessionFloor> {
         self.token.floors.get(&self.cluster).copied()
     }
 
     /// Raises the floor of the session's cluster; it never goes down.
-    pub(crate) fn raise_floor(&mut self, floor: SessionFloor) {
+    pub(crate) fn raise_required_position(&mut self, floor: SessionFloor) {
         let held = self.token.floors.entry(self.cluster.clone()).or_default();
         if floor > *held {
             *held = floor;
@@ -91,14 +91,18 @@
     }
 
     /// Takes over the floor that a reply brought. A lost write lowers the floor and is told to the caller.
-    pub(crate) fn take_floors(&mut self, floor: Option<SessionFloor>, lost: Option<SessionFloor>) {
+    pub(crate) fn update_required_position(
+        &mut self,
+        floor: Option<SessionFloor>,
+        lost: Option<SessionFloor>,
+    ) {
         if let Some(instead) = lost {
             self.token.floors.insert(self.cluster.clone(), instead);
             self.token_changed = true;
-            self.notices.push(lost_notice(instead));
+            self.notices.push(lost_write_notice(instead));
         }
         if let Some(floor) = floor {
-            self.raise_floor(floor);
+            self.raise_required_position(floor);
         }
     }
 
@@ -106,7 +110,7 @@
         self.transaction.as_ref().map(|transaction| transaction.state).unwrap_or_default()
     }
 
-    pub(crate) fn remember(&mut self, entry: Value) {
+    pub(crate) fn record_request(&mut self, entry: Value) {
         if self.history.len() == HISTORY_LENGTH {
             self.history.pop_front();
         }
@@ -125,7 +129,7 @@
     ErrorReply { code: code.into(), message: message.into() }
 }
 
-fn lost_notice(instead: SessionFloor) -> ErrorReply {
+fn lost_write_notice(instead: SessionFloor) -> ErrorReply {
     error(
         "01000",
         format!(
@@ -153,7 +157,7 @@
 }
 
 /// Attributes of a caller that are known; the others are absent, so that `!application` matches.
-fn caller_attributes(start: &SessionStart, user: &str, cluster: &str) -> LabelSet {
+fn client_attributes(start: &SessionStart, user: &str, cluster: &str) -> LabelSet {
     let attributes = [
         ("user", user),
         ("application", application_name(start)),
@@ -204,14 +208,14 @@
         }
         let mut session = Session {
             caller: format!("{user}/{}/{}", application_name(start), start.address).into(),
-            attributes: caller_attributes(start, &user, &cluster),
+            attributes: client_attributes(start, &user, &cluster),
             cluster,
             user,
             session_labels: LabelSet::default(),
             max_age: None,
             request_key: None,
             token: SessionToken::default(),
-            with_token: false,
+            has_token: false,
             arrived: self.now,
             primary_until: Micros::ZERO,
             revision: 0,
@@ -281,7 +285,7 @@
             "cicadawick.token" if value.is_empty() => session.token = SessionToken::default(),
             "cicadawick.token" => match SessionToken::verify(value, &self.fleet.keys) {
                 Ok(token) => {
-                    session.with_token = true;
+                    session.has_token = true;
                     for (cluster, floor) in token.floors {
                         let held = session.token.floors.entry(cluster).or_default();
                         *held = floor.max(*held);
@@ -355,11 +359,11 @@
             SessionCommand::Set { parameter, value } => {
                 self.set_parameter(session, parameter, value)?;
                 self.refresh_labels(session);
-                Ok(own_answer(request, OwnAnswer::Complete { tag: "SET" }))
+                Ok(proxy_answer(request, ProxyAnswer::Complete { tag: "SET" }))
             }
             SessionCommand::Show { parameter } => {
                 let value = self.show_parameter(session, parameter)?;
-                Ok(own_answer(request, OwnAnswer::Row { column: parameter, value: &value }))
+                Ok(proxy_answer(request, ProxyAnswer::Row { column: parameter, value: &value }))
             }
         }
     }
