--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -1,4 +1,4 @@
-//! Evidence that work needs before it is sent and before its answer is relayed.
+//! Proofs of leadership and data age, checked before a request is sent and before its answer is relayed.
 
 use failover::{ClusterWatch, CommitId, FloorState, WatchEvent};
 use model::{Micros, Name, Term};
@@ -10,15 +10,15 @@
 use crate::work::{DeclineReason, WorkReply};
 use admit::WorkId;
 
-/// Age of the last confirmed round up to which the primary counts as in office for reads and for the
-/// start of writes: two rounds of 250 ms and a margin. A longer time sends more writes to a frozen
-/// primary, and their outcome is then unknown.
+/// Maximum age of the last confirmed report round at which the primary is taken to lead, for reads and
+/// for the start of writes: two rounds of 250 ms and a margin. A longer time sends more writes to a
+/// frozen primary, and their outcome is then unknown.
 const MAX_LEADERSHIP_PROOF_AGE: Micros = Micros::from_millis(600);
 
-/// Rounds that work waits for before it is declined.
+/// Report rounds that a request waits for before it is declined.
 const MAX_ROUNDS_AWAITED: u32 = 2;
 
-/// Whether work may be sent.
+/// Whether a request may be sent.
 #[derive(Debug)]
 pub(crate) enum ProofCheck {
     Ready,
@@ -27,18 +27,18 @@
     RollBack(String),
 }
 
-/// What was proved of the database when a read was sent.
+/// The proof under which a read was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ReadProof {
-    /// It led in this term.
+    /// The database led in this term.
     Primary { term: Term },
-    /// Its data age was `age`. The data that the statement reads was fixed after this, so the age of
-    /// the answer is at most this plus the time since.
+    /// At the time `at` the data age was `age`. The statement reads data of that time or later, so the
+    /// age of the answer is at most `age` plus the time since `at`.
     Replica { age: Micros, at: Micros, limit: Micros },
 }
 
 impl Node {
-    /// Tells whether the work may be sent now, and keeps the proof.
+    /// Returns whether the request may be sent now, and stores its proof.
     pub(crate) fn check_proof(&mut self, id: WorkId) -> ProofCheck {
         let now = self.now;
         let Some(request) = self.owner.requests.get_mut(&id) else {
@@ -91,7 +91,7 @@
         check_read(request, monitor, now, leads && confirmed)
     }
 
-    /// Has the work wait for a confirmed round that begins now or later.
+    /// Makes the request wait for a confirmed report round that begins now or later.
     pub(crate) fn wait_for_round(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.rounds_awaited += 1;
@@ -101,7 +101,7 @@
         let Some(service) = self.owner.services.get(&request.routed.database) else { return };
         let cluster = service.cluster.clone();
         self.arm_owner_request(id, Some(deadline));
-        // A round that began for others in this very step serves as well.
+        // Share a round that other requests asked for at this same time.
         if let Some((at, commit)) =
             self.clusters.get(&cluster).and_then(|state| state.requested_round)
             && at == self.now
@@ -119,7 +119,7 @@
         self.handle_monitor_event(&cluster, event);
     }
 
-    /// The first byte of an answer arrived: checks the proof again and decides.
+    /// Handles the first byte of an answer: checks the proof again, then relays or discards the answer.
     pub(crate) fn exchange_started(&mut self, run: RunId) {
         let Some(id) = self.owner.exchanges.get(&run).copied() else { return };
         let Some(request) = self.owner.requests.get(&id) else { return };
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Returns why the answer must not be relayed.
+    /// Returns the reason why the answer must not be relayed, if any.
     pub(crate) fn recheck_proof(&self, request: &OwnerRequest) -> Option<DeclineReason> {
         match request.proof? {
             ReadProof::Replica { age, at, limit } => {
@@ -178,8 +178,8 @@
     }
 }
 
-/// Tells whether a read may be sent, and keeps the proof. `primary` tells that the database leads and
-/// was confirmed lately.
+/// Returns whether a read may be sent, and stores its proof. `primary` is true if the database leads
+/// and its leadership proof is recent enough.
 fn check_read(
     request: &mut OwnerRequest,
     monitor: &ClusterWatch,
@@ -202,8 +202,8 @@
         request.replacement_position.or(request.routed.floor).or(request.sampled_position)
     {
         let mut state = monitor.floor_state(&database, floor);
-        // Terms never decrease, so this round shows that the cluster was rebuilt or the floor is
-        // not its own.
+        // Terms never decrease, so a confirmed round in a lower term shows that the cluster was rebuilt
+        // or that the required position belongs to another cluster.
         if floor.term > term && monitor.confirmed_floor(request.arrived).is_some() {
             state = FloorState::Lost { instead: monitor.term_floor() };
         }
