--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Runs on connections, their ends, and the acknowledgement of commits.
+//! Exchanges on backend connections, their results, and the acknowledgement of commits.
 
 use admit::{ConnectionId, WorkId};
 use bytes::Bytes;
@@ -13,11 +13,11 @@
 use crate::step::PendingStep;
 use crate::work::{DeclineReason, RunSummary, TransactionState, WorkReply};
 
-/// SQLSTATE of a write at a replica.
+/// SQLSTATE that a replica returns for a write.
 const READ_ONLY: &str = "25006";
 
 impl Node {
-    /// Sends work on its connection, unless the evidence no longer holds.
+    /// Sends a request on its connection, unless its proof no longer holds.
     pub(crate) fn dispatch_owner_request(&mut self, id: WorkId, connection: ConnectionId) {
         let refusal = match self.check_proof(id) {
             ProofCheck::Ready => None,
@@ -51,7 +51,6 @@
         self.arm_owner_request(id, Some(deadline));
     }
 
-    /// Starts one exchange.
     pub(crate) fn start_exchange(
         &mut self,
         id: WorkId,
@@ -70,7 +69,7 @@
         run
     }
 
-    /// Gives an idle connection back to its pool.
+    /// Returns an idle connection to its pool.
     fn release_connection(&mut self, connection: ConnectionId) {
         let Some(backend) = self.owner.connections.get_mut(&connection) else { return };
         backend.request = None;
@@ -136,7 +135,7 @@
             self.emit(NodeAction::Discard { run });
             return self.decline_owner_request(id, reason);
         }
-        // COMMIT of a failed transaction ends with the tag ROLLBACK and without an error.
+        // COMMIT of a failed transaction returns the tag ROLLBACK and no error.
         let committed = commits
             && summary.error.is_none()
             && summary.transaction == TransactionState::Idle
@@ -150,7 +149,7 @@
         self.complete_owner_request(id, summary.transaction, None);
     }
 
-    /// Replies that the answer was relayed whole.
+    /// Ends a request whose answer was relayed completely.
     pub(crate) fn complete_owner_request(
         &mut self,
         id: WorkId,
@@ -164,7 +163,7 @@
         self.reply_owner_request(id, reply);
     }
 
-    /// Pins the connection while a transaction is open on it, or gives it back.
+    /// Pins the connection while a transaction is open on it, otherwise returns it to the pool.
     pub(crate) fn pin_or_release_connection(
         &mut self,
         id: WorkId,
@@ -209,7 +208,8 @@
         self.owner.pins.insert(key, pin);
     }
 
-    /// Has the commit wait for a confirmed round. Slot and connection are free already.
+    /// Makes the commit wait for a confirmed report round. The request must have released its slot and
+    /// connection.
     pub(crate) fn await_acknowledgement(
         &mut self,
         id: WorkId,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// The watch acknowledged a commit or a round.
+    /// The cluster monitor acknowledged a commit or a report round.
     pub(crate) fn acknowledged(&mut self, commit: CommitId, floor: SessionFloor) {
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
@@ -270,7 +270,7 @@
         }
     }
 
-    /// The watch could not confirm a commit or a round.
+    /// The cluster monitor could not confirm a commit or a report round.
     pub(crate) fn outcome_unknown(&mut self, commit: CommitId) {
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Rows of a held answer went out.
+    /// Rows of a held answer were relayed.
     pub(crate) fn held_rows_relayed(&mut self, run: RunId) {
         let id = self.owner.exchanges.get(&run).copied();
         if let Some(request) = id.and_then(|id| self.owner.requests.get_mut(&id)) {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The connection of work in progress was lost.
+    /// The connection of a request in progress was lost.
     pub(crate) fn owner_request_lost(&mut self, id: WorkId, message: &str) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         let message = message.to_string();
@@ -324,7 +324,7 @@
         self.reply_owner_request(id, reply);
     }
 
-    /// Tells whether the table of request keys was made in this term.
+    /// Returns whether the table of request keys was created in this term.
     pub(crate) fn is_key_table_ready(&self, database: &Name, term: Term) -> bool {
         self.owner
             .services
