--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -1,8 +1,9 @@
-//! Writes with a request key.
+//! Writes with a request key (idempotency key).
 //!
-//! The key, the statement and its outcome are one transaction, so that a repeat finds either all of
-//! them or none. Concurrent repeats meet in the table's primary key. Each step is a run of its own on
-//! one connection; the statement's answer is held until the commit is acknowledged as durable.
+//! The key, the statement and its outcome are written in one transaction, so a repeat finds either all
+//! of them or none. The primary key of the table makes concurrent repeats conflict. Each step is a
+//! separate exchange on the same connection; the statement's answer is held until the commit is
+//! acknowledged as durable.
 
 use admit::{ConnectionId, WorkId};
 use stats::CallerMeasure;
@@ -20,23 +21,23 @@
 const DUPLICATE_KEY: &str = "23505";
 const READ_ONLY: &str = "25006";
 
-/// The run in progress of keyed work.
+/// The step in progress of a keyed write.
 #[derive(Debug)]
 pub(crate) enum KeyStep {
     CreateTable,
     Insert,
     Statement,
-    /// The outcome is being recorded, outside a transaction of the caller together with the COMMIT.
+    /// The outcome is being recorded. Outside a client's transaction, the same exchange commits.
     Record {
         statement: RunId,
         transaction: TransactionState,
     },
-    /// The transaction is being rolled back, before `then`.
+    /// The transaction is being rolled back; `then` follows.
     RollBack {
         then: AfterRollBack,
     },
     Lookup,
-    /// The recorded tag waits for its acknowledgement.
+    /// The recorded command tag waits for the acknowledgement of its commit.
     Recorded {
         tag: String,
     },
@@ -61,7 +62,7 @@
 }
 
 impl Node {
-    /// Starts with the key, after making the table if this term has not seen it yet.
+    /// Inserts the key, after creating the table if that has not been done in this term.
     pub(crate) fn start_keyed_write(&mut self, id: WorkId, connection: ConnectionId) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         let ready = self.is_key_table_ready(&request.routed.database, request.term);
@@ -89,7 +90,7 @@
         self.start_key_query(id, connection, KeyStep::Insert, &text);
     }
 
-    /// Key and caller as SQL constants, and the hash of the statement.
+    /// Returns the key and the user as SQL constants, and the hash of the statement.
     fn key_values(&self, id: WorkId) -> (String, String, String) {
         let Some(request) = self.owner.requests.get(&id) else { return Default::default() };
         let key = request.routed.request_key.as_deref().unwrap_or_default();
@@ -140,7 +141,7 @@
         self.start_key_query(id, connection, KeyStep::RollBack { then }, "ROLLBACK");
     }
 
-    /// A run of keyed work ended.
+    /// Handles the end of an exchange of a keyed write and starts the next step.
     pub(crate) fn keyed_exchange_finished(
         &mut self,
         id: WorkId,
@@ -160,9 +161,10 @@
                 self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
             }
             (KeyStep::CreateTable, _) => {
-                // Two owners that make the table at once: one fails, and the table is there. If it is
-                // not, the insert says so.
-                // In a caller's transaction its rollback takes a table along that it made.
+                // If two owners create the table at once, one of them fails although the table exists.
+                // If it does not exist, the insert fails.
+                // A table created in a client's transaction disappears if that rolls back, so it is
+                // not noted.
                 if let Some(service) = self.owner.services.get_mut(&database).filter(|_| !pinned) {
                     service.key_table_term = Some(term);
                 }
@@ -202,7 +204,7 @@
                 self.await_acknowledgement(id, Some(statement), term, true);
             }
             (KeyStep::Record { statement, .. }, Some(error)) => {
-                // The COMMIT failed, for example at a deferred constraint: nothing is left.
+                // The COMMIT failed, for example at a deferred constraint, and nothing was written.
                 self.emit(NodeAction::Discard { run: statement });
                 self.reply_keyed_error(id, connection, state, error);
             }
@@ -249,7 +251,7 @@
                     (request.routed.caller.clone(), request.routed.rank, request.term);
                 self.accounts.count(self.now, &caller, rank, CallerMeasure::RepeatedKeys, 1);
                 self.count("keys.repeated", 1);
-                // The first run may never have been acknowledged, so its repeat has to be.
+                // The first write may never have been acknowledged, so the repeat has to be.
                 self.await_acknowledgement(id, None, term, true);
             }
             [_, _] => {
@@ -257,12 +259,12 @@
                 let error = ErrorReply { code: "22023".into(), message };
                 self.reply_keyed_error(id, connection, summary.transaction, error);
             }
-            // The row was there and is gone: it was deleted in between, so the key is free again.
+            // The row was deleted since the insert failed, so the key is free again.
             _ => self.insert_key(id, connection),
         }
     }
 
-    /// Gives slot and connection back after the last run.
+    /// Releases the slot and the connection after the last exchange.
     fn release_keyed_request(
         &mut self,
         id: WorkId,
@@ -293,7 +295,8 @@
         self.reply_owner_request(id, reply);
     }
 
-    /// The statement's run whose held answer nobody will decide on any more.
+    /// Returns the exchange of the statement whose answer is still held during a later step. It has to
+    /// be discarded if the request ends early.
     pub(crate) fn undecided_statement(&self, id: WorkId) -> Option<RunId> {
         let request = self.owner.requests.get(&id)?;
         if !matches!(request.stage, RequestStage::Running { .. }) {
