--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,8 +1,8 @@
-//! Owner side: the queue, pool and work of each database that this node owns.
+//! Owner side: the queue, connection pool and requests of each database that this node owns.
 //!
 //! A request passes admission (leadership and proofs), the queue (a slot), the pool (a connection) and
-//! its run. Slot and connection go back when the statement ends; the answer of a commit may be held
-//! longer, until it is acknowledged.
+//! its exchange. Slot and connection are released when the statement ends. The answer of a commit may
+//! be held longer, until the commit is acknowledged.
 
 mod admission;
 mod pin;
@@ -25,29 +25,29 @@
 use crate::step::PendingStep;
 use crate::work::{DeclineReason, WorkRequest};
 
-/// Time for which a surplus connection stays open. Opening one takes 12 ms at both users.
+/// Time for which a surplus connection stays open. Opening one takes 12 ms.
 const IDLE_TIMEOUT: Micros = Micros::from_secs(60);
 
-/// Time after which a connection that does not open is given up, so that a frozen backend server does
-/// not use up its limit with connections that never open.
+/// Time after which a connection that does not open is closed. Without it a frozen backend server would
+/// use up its connection limit with connections that never open.
 const OPEN_TIMEOUT: Micros = Micros::from_secs(3);
 
-/// Time between a cancel request and the close of the connection, if the statement does not end.
+/// Time after a cancel request before the connection is closed, if the statement does not end.
 const CANCEL_GRACE: Micros = Micros::from_secs(1);
 
-/// Time for which transactions that are open at a leaving primary may go on.
+/// Time for which open transactions at a leaving primary may continue.
 const LEAVE_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// Who waits for the reply.
+/// Where a request came from and its reply goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOrigin {
     Session(SessionId),
     Call(CallId),
-    /// Nobody any more.
+    /// Nobody waits for the reply any more.
     Abandoned,
 }
 
-/// Whose transaction a connection is pinned for.
+/// Identifies the transaction that a connection is pinned for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum PinKey {
     Session(SessionId),
@@ -59,9 +59,9 @@
 pub(crate) struct TransactionPin {
     pub database: Name,
     pub connection: ConnectionId,
-    /// Term in which the transaction began; a COMMIT in another one is not sent.
+    /// Term in which the transaction began; a COMMIT is not sent in any other term.
     pub term: Term,
-    /// The peer whose session it is.
+    /// The peer that has the session.
     pub peer: Option<Name>,
     /// The statement in progress.
     pub request: Option<WorkId>,
@@ -69,9 +69,9 @@
 
 #[derive(Debug)]
 pub(crate) enum RequestStage {
-    /// Waits for a confirmed round, for a floor or for news of the primary.
+    /// Waits for a confirmed report round: for the required position or for the primary's status.
     WaitingForRound,
-    /// Waits until another transaction ends.
+    /// Waits until fewer transactions are open.
     Deferred,
     /// Waits for a slot.
     Queued,
@@ -79,10 +79,10 @@
     Granted,
     Running {
         run: RunId,
-        /// `Relay` or `Discard` was sent, or is not needed.
+        /// `Relay` or `Discard` has been sent, or is not needed.
         decided: bool,
     },
-    /// The commit waits for its acknowledgement.
+    /// The commit finished and waits for its acknowledgement.
     Acknowledging { commit: CommitId, run: Option<RunId> },
 }
 
@@ -102,19 +102,19 @@
     /// Term in which the statement was sent.
     pub term: Term,
     pub proof: Option<ReadProof>,
-    /// Floor sampled for a session without a token.
+    /// Required position sampled for a session without a token.
     pub sampled_position: Option<SessionFloor>,
     pub replacement_position: Option<SessionFloor>,
-    /// Confirmed rounds that were waited for.
+    /// Report rounds that the request has waited for.
     pub rounds_awaited: u32,
     pub cancel_sent: bool,
-    /// Rows of a held answer went out.
+    /// Rows of a held answer were relayed.
     pub rows_relayed: bool,
     pub key_step: Option<KeyStep>,
 }
 
 impl OwnerRequest {
-    /// Opens a transaction, as far as its class tells.
+    /// Returns whether the request opens a transaction, judged by its statement class.
     pub(crate) fn opens_transaction(&self) -> bool {
         self.pin.is_none() && !self.routed.read && !self.routed.commits
     }
@@ -137,13 +137,13 @@
 pub(crate) struct BackendConnection {
     pub database: Name,
     pub open: bool,
-    /// When the node asked for it.
+    /// When the node asked the I/O driver to open it.
     pub requested_at: Micros,
     pub request: Option<WorkId>,
     pub pin: Option<PinKey>,
 }
 
-/// A database that this node owns, or owned while work on it is in progress.
+/// A database that this node owns, or no longer owns but still has requests of.
 #[derive(Debug)]
 pub(crate) struct DatabaseService {
     pub cluster: Name,
@@ -151,25 +151,24 @@
     pub owned: bool,
     pub queue: SlotQueue,
     pub pool: ConnectionPool,
-    /// Work with a slot that waits for a connection, in the order of the grants.
+    /// Requests with a slot that wait for a connection, in the order of the grants.
     pub awaiting_connection: VecDeque<WorkId>,
-    /// Work that would open one transaction too many.
+    /// Requests that would exceed `transaction_limit`.
     pub deferred: BTreeSet<(Rank, WorkId)>,
     pub pins: FastSet<PinKey>,
-    /// Work in progress that opens a transaction.
+    /// Requests in progress that open a transaction.
     pub opening_transactions: FastSet<WorkId>,
-    /// Transactions that may be open at once. The rest of the connections, one for each slot, stays
-    /// free of them: else work that holds all slots would wait for connections of transactions
-    /// whose next statements wait for a slot.
+    /// Maximum number of open transactions. The other connections, one for each slot, are kept free of
+    /// transactions to avoid a deadlock: requests that hold all slots would wait for connections of
+    /// transactions whose next statements wait for a slot.
     pub transaction_limit: usize,
-    /// Term in which the table of request keys was made.
+    /// Term in which the table of request keys was created.
     pub key_table_term: Option<Term>,
     /// When this node first saw the database marked as leaving.
     leaving_since: Option<Micros>,
     deferred_limit: usize,
 }
 
-/// State of the owner side.
 #[derive(Debug, Default)]
 pub(crate) struct OwnerState {
     pub services: FastMap<Name, DatabaseService>,
@@ -182,11 +181,11 @@
     pub next_connection: u64,
 }
 
-/// What an acknowledgement is for.
+/// What a commit identifier given to the cluster monitor stands for.
 #[derive(Debug)]
 pub(crate) enum CommitPurpose {
     OwnerRequest(WorkId),
-    /// Work of a database that waits for a confirmed round.
+    /// Requests that wait for a confirmed report round.
     Round(Vec<WorkId>),
 }
 
@@ -214,13 +213,13 @@
         spare.max(pool.limit / 2).max(1) as usize
     }
 
-    /// When the pool opens connections again for work that waits.
+    /// Returns when the pool opens connections again for waiting requests.
     pub(crate) fn next_open(&self) -> Option<Micros> {
         self.pool.next_retry().filter(|_| !self.awaiting_connection.is_empty())
     }
 
-    /// Tells whether the database is leaving and waits for open transactions. A primary serves other
-    /// statements meanwhile, so that one slow transaction does not stop the writes of all callers.
+    /// Returns whether the database is leaving and waits for open transactions. A primary serves other
+    /// statements meanwhile, so that one slow transaction does not stop the writes of all clients.
     pub(crate) fn is_draining(&self, now: Micros) -> bool {
         let open = !self.pins.is_empty() || !self.opening_transactions.is_empty();
         open && self.leaving_since.is_some_and(|since| now < since + LEAVE_TIMEOUT)
@@ -234,7 +233,7 @@
 }
 
 impl Node {
-    /// Starts to serve an owned database, or takes over its changed configuration.
+    /// Starts to serve an owned database, or applies its changed configuration.
     pub(crate) fn configure_service(
         &mut self,
         cluster: &ClusterConfig,
@@ -286,7 +285,7 @@
         self.steps.push_back(PendingStep::ServeQueue(config.name.clone()));
     }
 
-    /// Stops serving a database: work that was not sent is declined, the rest finishes.
+    /// Stops serving a database: requests that were not sent are declined, the others finish.
     pub(crate) fn retire_service(&mut self, database: &Name) {
         let Some(service) = self.owner.services.get_mut(database) else { return };
         if !service.owned {
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of work: evidence, the queue, and the grant of slots and connections.
+//! Admission of requests: proofs, the queue, and the grant of slots and connections.
 
 use admit::{RefusalReason, WorkId, WorkTicket};
 use model::{Micros, Name, Term};
@@ -12,7 +12,7 @@
 use crate::work::{DeclineReason, WorkRequest};
 
 impl Node {
-    /// Takes a request on. The reply follows as a step or an action, perhaps at once.
+    /// Accepts a request. The reply follows as a pending step or an action, possibly at once.
     pub(crate) fn admit_owner_request(
         &mut self,
         origin: RequestOrigin,
@@ -56,7 +56,7 @@
         id
     }
 
-    /// Checks leadership and proofs of work that arrived or that waited for a round.
+    /// Checks leadership and proofs of a request that arrived or waited for a report round.
     pub(crate) fn check_owner_request(&mut self, id: WorkId) {
         match self.check_proof(id) {
             ProofCheck::Ready => self.enqueue_owner_request(id),
@@ -115,7 +115,7 @@
         self.decline_owner_request(id, reason);
     }
 
-    /// Sets the timer of work.
+    /// Sets the timer of a request.
     pub(crate) fn arm_owner_request(&mut self, id: WorkId, due: Option<Micros>) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         if request.timer_due != due {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Grants slots and connections of a database.
+    /// Grants slots and connections of a database to waiting requests.
     pub(crate) fn serve_queue(&mut self, database: &Name) {
         let now = self.now;
         let Some(service) = self.owner.services.get_mut(database) else { return };
@@ -158,7 +158,7 @@
         self.run_pool_actions(database, actions);
     }
 
-    /// Queues work that waited until another transaction ended.
+    /// Queues deferred requests for which a transaction may be opened now.
     fn resume_deferred(&mut self, database: &Name) {
         while let Some(service) = self.owner.services.get_mut(database) {
             if service.pins.len() + service.opening_transactions.len() >= service.transaction_limit
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Grants free slots. Work in a transaction has its connection and is sent at once.
+    /// Grants free slots. A request in a transaction has its connection already and is sent at once.
     fn grant_slots(&mut self, database: &Name) {
         let now = self.now;
         while let Some(service) = self.owner.services.get_mut(database) {
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Declines work that waits for a connection while none is there and none is being opened, as after
-    /// a failed open. It would hold slots for nothing.
+    /// Declines requests that wait for a connection if the pool has none and opens none, as after a
+    /// failed open. They would hold slots without a use.
     pub(super) fn decline_without_connections(&mut self, database: &Name) {
         let Some(service) = self.owner.services.get(database) else { return };
         let stats = service.pool.stats();
@@ -209,7 +209,6 @@
         }
     }
 
-    /// Gives the slot back.
     pub(crate) fn release_slot(&mut self, id: WorkId) {
         let now = self.now;
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
--- a/crates/node/src/owner/pin.rs
+++ b/crates/node/src/owner/pin.rs
@@ -18,7 +18,7 @@
         Some(pin)
     }
 
-    /// Ends a pinned transaction by closing its connection, and the statement in progress on it.
+    /// Ends a pinned transaction, and the statement in progress on it, by closing its connection.
     pub(crate) fn close_pin(&mut self, key: PinKey, message: &str) {
         let Some(pin) = self.remove_pin(key) else { return };
         self.count("transactions.dropped", 1);
@@ -30,7 +30,7 @@
         self.close_connection(pin.connection);
     }
 
-    /// A peer died: its transactions roll back and its queued work is dropped.
+    /// Rolls back the transactions of a lost peer and abandons its requests.
     pub(crate) fn abandon_peer_requests(&mut self, peer: &Name) {
         let from_peer = |other: &Option<Name>| other.as_ref() == Some(peer);
         let mut requests: Vec<WorkId> = self
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The lane that the work's connection is pinned for.
+    /// Returns the lane that the request's connection is pinned for.
     pub(super) fn lane_of(&self, id: WorkId) -> Option<LaneId> {
         let key = self.owner.requests.get(&id)?.pin?;
         match key {
--- a/crates/node/src/owner/pool.rs
+++ b/crates/node/src/owner/pool.rs
@@ -9,7 +9,7 @@
 use crate::step::PendingStep;
 
 impl Node {
-    /// Opens and closes connections as a pool asks.
+    /// Opens and closes connections as the pool requests.
     pub(crate) fn run_pool_actions(&mut self, database: &Name, actions: Vec<PoolAction>) {
         for action in actions {
             match action {
@@ -86,7 +86,7 @@
         self.steps.push_back(PendingStep::ServeQueue(backend.database));
     }
 
-    /// Gives up connections that do not open.
+    /// Closes connections that have not opened within [`OPEN_TIMEOUT`].
     pub(crate) fn close_overdue_openings(&mut self) {
         let oldest = self.now.saturating_sub(OPEN_TIMEOUT);
         let mut late: Vec<ConnectionId> = self
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Closes surplus connections of all pools and forgets databases that are no longer owned or used.
+    /// Closes surplus connections of all pools and removes databases that are no longer owned or used.
     pub(crate) fn close_surplus_connections(&mut self) {
         let mut names: Vec<Name> = self.owner.services.keys().cloned().collect();
         names.sort();
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -1,4 +1,4 @@
-//! Deadlines, cancellation and replies of work.
+//! Deadlines, cancellation and replies of owner requests.
 
 use admit::WorkId;
 use model::{Micros, Name};
@@ -28,7 +28,7 @@
         );
     }
 
-    /// The timer of work.
+    /// Handles the timer of a request: its deadline, or the end of the grace period after a cancel.
     pub(crate) fn owner_request_timer_due(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.timer_due = None;
@@ -36,7 +36,7 @@
             RequestStage::Running { run, .. } => {
                 let connection = request.connection;
                 if request.cancel_sent {
-                    // The backend server does not answer: only the connection's end frees the slot.
+                    // The backend server does not answer; closing the connection releases the slot.
                     if let Some(connection) = connection {
                         self.emit(NodeAction::CloseBackend { connection });
                         self.backend_lost(connection, "the statement did not end in time");
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The caller wants the work cancelled and still waits for the reply.
+    /// Cancels a request whose client still waits for the reply.
     pub(crate) fn cancel_owner_request(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         match (&request.stage, request.connection) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Nobody waits for the work any more.
+    /// Ends a request for which nobody waits any more.
     pub(crate) fn abandon_owner_request(&mut self, id: WorkId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         if let RequestOrigin::Call(call) = request.origin {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes work out of every table. Slot and begin room go back.
+    /// Removes a request from every table and releases its slot and its share of the transaction limit.
     pub(crate) fn remove_owner_request(&mut self, id: WorkId) -> Option<OwnerRequest> {
         self.release_slot(id);
         let request = self.owner.requests.remove(&id)?;
@@ -141,12 +141,13 @@
         Some(request)
     }
 
-    /// Ends work with a reply.
+    /// Ends a request with a reply.
     pub(crate) fn reply_owner_request(&mut self, id: WorkId, reply: WorkReply) {
         let lane = self.lane_of(id);
         let Some(request) = self.remove_owner_request(id) else { return };
         let reply = match reply {
-            // The entry proxy would repeat a keyed write, and the caller get its rows twice.
+            // After `Unknown` the entry node would retry a keyed write, and the client would receive its
+            // rows twice.
             WorkReply::Unknown { message } if request.rows_relayed => {
                 WorkReply::ReadFailed { relayed: true, message }
             }
@@ -155,7 +156,7 @@
         self.send_reply(id, request.origin, reply, lane);
     }
 
-    /// Replies to the one who waits, without ending the work.
+    /// Sends a reply without ending the request.
     pub(crate) fn send_reply(
         &mut self,
         id: WorkId,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Ends work of which nothing was sent. In a transaction this ends the transaction.
+    /// Ends a request of which nothing was sent. In a transaction this ends the transaction.
     pub(crate) fn decline_owner_request(&mut self, id: WorkId, reason: DeclineReason) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         if request.pin.is_some() {
@@ -193,7 +194,7 @@
         self.reply_owner_request(id, WorkReply::Declined { reason, age, wait });
     }
 
-    /// Ends work and the transaction that it belongs to.
+    /// Ends a request and the transaction that it belongs to.
     pub(crate) fn roll_back_owner_request(&mut self, id: WorkId, message: String) {
         let Some(pin) = self.owner.requests.get(&id).map(|request| request.pin) else { return };
         let Some(request) = self.remove_owner_request(id) else { return };
@@ -203,7 +204,7 @@
         self.send_reply(id, request.origin, WorkReply::RolledBack { message }, None);
     }
 
-    /// Data age and expected wait that a reply carries as hints.
+    /// Returns the data age and the expected wait that a reply carries as hints.
     pub(crate) fn age_and_wait(&self, id: WorkId) -> (Option<Micros>, Micros) {
         let Some(request) = self.owner.requests.get(&id) else { return (None, Micros::ZERO) };
         let Some(service) = self.owner.services.get(&request.routed.database) else {
