--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,7 +1,7 @@
-//! Entry side: what a request is, where it goes, and how its end is told.
+//! Entry side: classification, routing, retries and the end of client requests.
 //!
-//! A request that was declined has not been sent to a backend server, so it may go elsewhere until its
-//! deadline. One that may have been sent is tried again only if that cannot change its effect: reads
+//! A declined request has not been sent to a backend server, so it may be sent to another one until its
+//! deadline. A request that may have been sent is retried only if that cannot change its effect: reads
 //! of which nothing was relayed, and writes with a request key.
 
 mod finish;
@@ -25,20 +25,21 @@
 use crate::step::PendingStep;
 use crate::work::{CallerRequest, ErrorReply};
 
-/// First pause after all databases of a cluster declined a request; doubles up to
-/// [`LONGEST_BACKOFF`]. A new leader ends the pause at once, so it need not be short.
+/// First back-off after all databases of a cluster declined a request; it doubles up to
+/// [`MAX_BACKOFF`]. It need not be short, because a new leader ends it at once.
 const MIN_BACKOFF: Micros = Micros::from_millis(20);
 const MAX_BACKOFF: Micros = Micros::from_millis(500);
 
-/// Time beyond the deadline after which a peer that does not answer counts as lost. Covers the
+/// Time after the deadline at which a peer that has not answered counts as lost. Covers the
 /// cancellation of a running statement (1 s) and the wait for an acknowledgement (3 s).
 const ANSWER_GRACE: Micros = Micros::from_secs(5);
 
-/// Time for which a session whose floor a replica has not reached reads from the primary. It saves the
-/// way over a replica that would decline again, and is short against a lag at which replicas serve.
+/// Time for which a session reads from the primary after a replica had not reached its required
+/// position. It avoids attempts at a replica that would decline again, and is short compared with the
+/// lag at which replicas still serve reads.
 const REPLICA_LAG_BACKOFF: Micros = Micros::from_millis(100);
 
-/// Where a request is at the moment.
+/// An attempt in progress: the database, its owner and the path to it.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryAttempt {
     pub database: Name,
@@ -58,7 +59,7 @@
     pub request: CallerRequest,
     pub read: bool,
     pub commits: bool,
-    /// May change something, so that the COMMIT of its transaction has to be acknowledged.
+    /// The statement may write, so the COMMIT of its transaction has to be acknowledged.
     may_write: bool,
     pub key: Option<Name>,
     pub policy: Arc<WorkPolicy>,
@@ -66,18 +67,18 @@
     pub deadline: Micros,
     pub attempt: Option<EntryAttempt>,
     retry_at: Option<Micros>,
-    /// The deadline that counts in the timer heap.
+    /// The time of the valid entry in the timer heap.
     pub timer_due: Option<Micros>,
     backoff: Micros,
-    /// Databases that declined since the last pause.
+    /// Databases that declined since the last back-off.
     declined_by: Vec<Name>,
-    /// A replica could not prove what the read needs.
+    /// The request is sent to the primary only, for example after a replica lacked a proof.
     primary_only: bool,
-    /// The last decline was for lack of a primary.
+    /// The request was last declined because no primary was available.
     no_primary: bool,
-    /// A keyed write may have run; "not run" is no longer true.
+    /// A keyed write may have run, so it must not be reported as not run.
     may_have_run: bool,
-    /// A read was sent and broke off.
+    /// A read was sent and its answer was interrupted.
     interrupted: bool,
     cancelled: bool,
     route: (Name, &'static str),
@@ -90,13 +91,13 @@
     pub to: Name,
 }
 
-/// State of the entry side beside the sessions.
+/// State of the entry side, apart from the sessions.
 #[derive(Debug, Default)]
 pub(crate) struct EntryState {
     pub calls: FastMap<CallId, ForwardedCall>,
     pub hints: HintTable,
     pub budget: RetryBudget,
-    /// Sessions whose request waits for a primary, by cluster.
+    /// Sessions with a request that waits for a primary, by cluster.
     waiting: FastMap<Name, BTreeSet<SessionId>>,
 }
 
@@ -119,7 +120,7 @@
     pub(crate) fn request_arrived(&mut self, id: SessionId, request: CallerRequest) {
         let Some(mut session) = self.sessions.remove(&id) else { return };
         if session.request.is_some() {
-            // The shell sends one request at a time; a second one would get two ends.
+            // The I/O driver sends one request at a time; a second one would end twice.
             self.count("requests.out_of_turn", 1);
             self.sessions.insert(id, session);
             return;
@@ -137,7 +138,7 @@
             }
             StatementClass::Empty => Some(Ok(proxy_answer(&request, ProxyAnswer::EmptyQuery))),
             StatementClass::Unsupported(reason) => {
-                // The caller takes an error for the end of its transaction, so it has to be one.
+                // The client expects an error to end its transaction, so the transaction is dropped.
                 if let Some(transaction) = session.transaction.take() {
                     self.drop_transaction(id, &transaction);
                 }
@@ -185,7 +186,7 @@
         let executes = executes(&request);
         let several = has_several_statements(&request.text);
         let in_transaction = session.transaction.is_some();
-        // Messages that only prepare and describe change nothing, whatever the statement is.
+        // Messages that only prepare and describe a statement never write.
         let read = !executes || *class == StatementClass::Read;
         let has_written =
             session.transaction.as_ref().is_some_and(|transaction| transaction.has_written);
@@ -234,7 +235,7 @@
     }
 }
 
-/// Tells whether a text holds more than one statement, or something that looks like it.
+/// Returns whether a text may contain more than one statement: a semicolon before its end.
 fn has_several_statements(text: &str) -> bool {
     text.trim_end().trim_end_matches([';', ' ', '\n', '\t', '\r']).contains(';')
 }
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -1,4 +1,4 @@
-//! Replies of owners, and the end that the caller is told.
+//! Replies of owners, and the end of a request as the client sees it.
 
 use bytes::Bytes;
 use model::Name;
@@ -16,7 +16,7 @@
 use crate::work::{ErrorReply, TransactionState, WorkReply};
 
 impl Node {
-    /// The owner's reply to an attempt.
+    /// Handles the owner's reply to an attempt.
     pub(crate) fn reply_arrived(
         &mut self,
         id: SessionId,
@@ -59,7 +59,7 @@
             WorkReply::Declined { reason, age, wait } => {
                 self.entry.hints.update_status(now, &database, age, wait);
                 match session.transaction.is_some() {
-                    true => self.end_transaction(id, "a statement of it was declined"),
+                    true => self.end_transaction(id, "a statement of the transaction was declined"),
                     false => self.request_declined(id, &cluster, &attempt, reason, age),
                 }
             }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A write with a key is sent again; for any other the caller learns that its outcome is unknown.
+    /// Retries a write with a request key; any other write ends with an unknown outcome.
     fn write_outcome_unknown(&mut self, id: SessionId, database: &Name, message: &str) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(request) = session.request.as_mut() else { return };
@@ -84,7 +84,7 @@
         self.try_other_database(id, database);
     }
 
-    /// The answer broke off; a read of which nothing was relayed is tried again.
+    /// Handles an interrupted answer; a read of which nothing was relayed is retried.
     fn answer_interrupted(&mut self, id: SessionId, database: &Name, relayed: bool, message: &str) {
         let now = self.now;
         let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -104,12 +104,12 @@
             self.try_other_database(id, database);
         } else {
             let code = if cancelled { "57014" } else { "08006" };
-            let error = error(code, format!("the read broke off: {message}"));
+            let error = error(code, format!("the read was interrupted: {message}"));
             self.finish_request(id, Some(error), Bytes::new());
         }
     }
 
-    /// Keeps, or ends, the session's transaction after an answer.
+    /// Updates or ends the session's transaction after an answer.
     fn update_transaction(
         &mut self,
         id: SessionId,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The session's transaction was rolled back before its COMMIT was sent.
+    /// Ends a transaction that was rolled back before its COMMIT was sent.
     pub(super) fn end_transaction(&mut self, id: SessionId, message: &str) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let cancelled = session.request.as_ref().is_some_and(|request| request.cancelled);
@@ -148,7 +148,7 @@
         self.finish_request(id, Some(error), Bytes::new());
     }
 
-    /// A caller asks to cancel its request in progress.
+    /// Cancels the request in progress at the client's request.
     pub(crate) fn cancel_request(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
         request.cancelled = true;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The session is gone: whatever comes of the attempt is not wanted.
+    /// Abandons an attempt whose session has ended; its result is ignored.
     pub(crate) fn abandon_attempt(&mut self, attempt: &EntryAttempt) {
         match attempt.path {
             AttemptPath::Local(work) => self.abandon_owner_request(work),
@@ -170,20 +170,20 @@
         }
     }
 
-    /// Releases a transaction's connection, which rolls it back.
+    /// Releases a transaction's connection, which rolls the transaction back.
     pub(crate) fn drop_transaction(&mut self, id: SessionId, transaction: &SessionTransaction) {
         match transaction.lane {
             Some(lane) => self.emit(NodeAction::DropLane { lane }),
-            None => self.close_pin(PinKey::Session(id), "its session ended the transaction"),
+            None => self.close_pin(PinKey::Session(id), "the client session ended the transaction"),
         }
     }
 
-    /// The deadline passed, or the caller cancelled, while the request was nowhere.
+    /// Ends a request whose deadline passed, or that was cancelled, while no attempt was in progress.
     pub(super) fn finish_not_run(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
         let ran = request.may_have_run;
         if request.interrupted && !request.cancelled {
-            let message = "the read broke off and its deadline passed during a retry";
+            let message = "the read was interrupted and its deadline passed during a retry";
             return self.finish_request(id, Some(error("08006", message)), Bytes::new());
         }
         let error = match (request.cancelled, request.no_primary) {
@@ -214,7 +214,7 @@
         self.finish_request(id, Some(error), Bytes::new());
     }
 
-    /// Counts a request that was not run.
+    /// Counts a refused request.
     pub(super) fn count_refusal(&mut self, id: SessionId) {
         self.count("requests.refused", 1);
         if let Some(session) = self.sessions.get(&id) {
--- a/crates/node/src/entry/retry.rs
+++ b/crates/node/src/entry/retry.rs
@@ -1,4 +1,4 @@
-//! What follows when an owner declined a request or its link broke.
+//! Retries after an owner declined a request or the connection to its node was lost.
 
 use bytes::Bytes;
 use model::{Micros, Name};
@@ -12,7 +12,7 @@
 use crate::work::{DeclineReason, WorkReply};
 
 impl Node {
-    /// All databases declined: waits before the next turn.
+    /// Schedules a retry after all databases declined.
     pub(super) fn schedule_retry(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
         let pause = request.backoff;
@@ -32,7 +32,7 @@
         self.arm_session(id);
     }
 
-    /// Tries the next database at once.
+    /// Tries another database at once.
     pub(super) fn try_other_database(&mut self, id: SessionId, database: &Name) {
         if let Some(request) = self.request_mut(id) {
             request.attempt = None;
@@ -44,7 +44,7 @@
         self.steps.push_back(PendingStep::Route(id));
     }
 
-    /// A leader is known: requests that wait for one go on.
+    /// Stores a cluster's leader and resumes requests that wait for one.
     pub(crate) fn leader_learned(&mut self, cluster: &Name, leader: &Name) {
         if !self.entry.hints.set_leader(self.now, cluster, leader) {
             return;
@@ -74,11 +74,11 @@
         let (read, commits) = (request.read, request.commits);
         let in_transaction =
             self.sessions.get(&call.session).is_some_and(|session| session.transaction.is_some());
-        let message = format!("the link to node {} broke", call.to);
+        let message = format!("the connection to node {} was lost", call.to);
         let reply = if in_transaction && (!sent || !commits) {
             WorkReply::RolledBack { message }
         } else if !sent || (!read && !commits) {
-            // Without its lane a transaction that was about to begin is rolled back by its owner.
+            // The owner rolls back a transaction that was being opened, because its lane is lost.
             let reason = DeclineReason::Unavailable;
             WorkReply::Declined { reason, age: None, wait: Micros::ZERO }
         } else if read {
@@ -120,7 +120,7 @@
                 self.entry.hints.exclude(now, &database);
                 self.entry.hints.clear_leader(cluster, &database);
             }
-            // Members disagree for the time of a heartbeat or two.
+            // The nodes disagree on the owner for one or two heartbeats.
             DeclineReason::NotOwner { .. } | DeclineReason::Leaving => {
                 self.entry.hints.exclude(now, &database);
             }
@@ -146,7 +146,7 @@
         self.try_other_database(id, &database);
     }
 
-    /// The database could not prove what the read needs; the next try is at the primary.
+    /// Handles a decline for lack of a proof; the next attempt is at the primary.
     fn read_proof_missing(
         &mut self,
         id: SessionId,
@@ -160,8 +160,9 @@
         let Some(request) = session.request.as_mut() else { return };
         request.primary_only = true;
         let (max_age, rank) = (request.policy.max_age, request.policy.rank);
-        // A provable age that would do means that only this session's floor is missing, which says
-        // nothing about the reads of others. An age that would not do is a hint already.
+        // If the provable age is sufficient, only this session's required position was not reached,
+        // which does not concern the reads of other sessions. An insufficient age is stored as a hint
+        // already.
         match age {
             None => self.entry.hints.exclude(now, database),
             Some(age) if age <= max_age && !led => {
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and its deadlines.
+//! Routing of requests to databases and their owners, and the timers of requests.
 
 use member::MemberInfo;
 use model::{Micros, Name};
@@ -13,14 +13,14 @@
 use crate::timer::TimerKey;
 use crate::work::WorkRequest;
 
-/// Where a request goes next.
+/// The node that a request is sent to.
 enum RouteTarget {
     Local,
     Peer(MemberInfo),
 }
 
 impl Node {
-    /// Sends the session's request on its way, or schedules the next try.
+    /// Sends the session's request to an owner, or schedules a retry.
     pub(crate) fn route_request(&mut self, id: SessionId) {
         let Some(session) = self.sessions.get(&id) else { return };
         let Some(request) = &session.request else { return };
@@ -36,7 +36,7 @@
                     Some(peer) => {
                         self.send_request(id, database, RouteTarget::Peer(peer), true, Some(lane));
                     }
-                    None => self.end_transaction(id, "the owner of the database is gone"),
+                    None => self.end_transaction(id, "the node that owns the database was lost"),
                 },
             };
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Chooses a database that has not declined since the last pause.
+    /// Chooses a database that has not declined since the last back-off.
     fn choose_target(
         &self,
         session: &Session,
@@ -105,7 +105,7 @@
             .map(|database| (database, "its owner is asked for the primary"))
     }
 
-    /// The leader that replies or the own watch name.
+    /// Returns the leader according to replies or else to this node's cluster monitor.
     pub(crate) fn known_leader(&self, cluster: &str) -> Option<Name> {
         let hinted = self.entry.hints.leader(cluster).cloned();
         hinted.or_else(|| self.clusters.get(cluster)?.monitor.view(self.now).leader)
@@ -175,7 +175,7 @@
         let due = match request.attempt.as_ref().map(|attempt| attempt.path) {
             None => Some(request.retry_at.unwrap_or(request.deadline).min(request.deadline)),
             Some(AttemptPath::Remote(_)) => Some(request.deadline + ANSWER_GRACE),
-            // The owner side keeps the deadline of local work.
+            // The owner side enforces the deadline of a local request.
             Some(AttemptPath::Local(_)) => None,
         };
         if request.timer_due != due {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The timer of a session's request.
+    /// Handles the timer of a session's request: a retry, or a peer that does not answer.
     pub(crate) fn session_timer_due(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
         request.timer_due = None;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -208,7 +208,10 @@
                 }
             }
             NodeEvent::LaneDropped { lane } => {
-                self.close_pin(PinKey::Lane(lane), "its lane was dropped");
+                self.close_pin(
+                    PinKey::Lane(lane),
+                    "the node of the client session released the connection",
+                );
             }
             NodeEvent::ForwardAnswered { call, reply, lane } => {
                 self.forward_answered(call, reply, lane);
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -190,7 +190,10 @@
                 }
                 (Some(_), Some(connection)) => self.dispatch_owner_request(grant.work, connection),
                 (Some(_), None) => {
-                    self.roll_back_owner_request(grant.work, "its connection was lost".to_string());
+                    self.roll_back_owner_request(
+                        grant.work,
+                        "the connection of the transaction was lost".to_string(),
+                    );
                 }
             }
         }
--- a/crates/node/src/owner/pin.rs
+++ b/crates/node/src/owner/pin.rs
@@ -52,7 +52,7 @@
             .map(|(key, _)| *key)
             .collect();
         for key in pins {
-            self.close_pin(key, "the peer is gone");
+            self.close_pin(key, "the node of the client session was lost");
         }
     }
 
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -47,7 +47,7 @@
         let database = request.routed.database.clone();
         let Some(service) = self.owner.services.get(&database) else {
             if request.pin.is_some() {
-                return ProofCheck::RollBack("the database is gone".to_string());
+                return ProofCheck::RollBack("this node no longer serves the database".to_string());
             }
             return ProofCheck::Decline(not_owner_reason(&self.fleet, &self.members, &database));
         };
@@ -55,7 +55,9 @@
         let view = monitor.map(|monitor| monitor.view(now));
         if let Some(key) = request.pin {
             let Some(pin) = self.owner.pins.get(&key) else {
-                return ProofCheck::RollBack("its connection was lost".to_string());
+                return ProofCheck::RollBack(
+                    "the connection of the transaction was lost".to_string(),
+                );
             };
             request.term = pin.term;
             let term = view.map(|view| view.term);
