--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Cluster side: evidence and promotions of each cluster of which this node owns a database.
+//! Cluster side: monitoring and promotions of each cluster of which this node owns a database.
 
 use admit::WorkId;
 use failover::{
@@ -15,25 +15,25 @@
 use crate::owner::PinKey;
 use crate::record::{read_record, write_record};
 
-/// Time after which the purpose of an unanswered request is forgotten; the machines have long counted
-/// it as failed.
+/// Time after which an unanswered report request is removed. The cluster monitor and the supervisor have
+/// counted it as failed long before.
 const REPORT_REQUEST_TTL: Micros = Micros::from_secs(10);
 
-/// Age of the last confirmed round up to which a planned change of primary is begun; beyond it, the
-/// primary is suspected instead.
+/// Maximum age of the last confirmed report round at which a switchover is started. With an older round
+/// the primary is suspected instead.
 const MAX_SWITCHOVER_PROOF_AGE: Micros = Micros::from_secs(1);
 
-/// A watched cluster.
+/// A monitored cluster.
 #[derive(Debug)]
 pub(crate) struct ClusterState {
     pub config: ClusterConfig,
     pub monitor: ClusterWatch,
     pub supervisor: Supervisor,
-    /// When a confirmed round was last asked for work that waits for one.
+    /// The last report round that was requested for waiting owner requests: its time and identifier.
     pub requested_round: Option<(Micros, CommitId)>,
 }
 
-/// What a request on a report connection is for.
+/// A request on a report connection that has not been answered.
 #[derive(Debug)]
 pub(crate) struct PendingReport {
     cluster: Name,
@@ -63,7 +63,7 @@
 }
 
 impl Node {
-    /// Starts or updates the watch of a cluster.
+    /// Starts or updates the monitor of a cluster.
     pub(crate) fn configure_cluster(&mut self, config: &ClusterConfig) {
         let databases: Vec<Name> =
             config.databases.iter().map(|database| database.name.clone()).collect();
@@ -88,13 +88,13 @@
                     requested_round: None,
                 };
                 self.clusters.insert(config.name.clone(), state);
-                // Starts the first round.
+                // Start the first report round.
                 self.handle_monitor_event(&config.name, WatchEvent::Timer);
             }
         }
     }
 
-    /// Owners of the cluster's databases in the order in which they supervise it.
+    /// Returns the owners of the cluster's databases in the order in which they supervise it.
     pub(crate) fn supervisors(&self, cluster: &ClusterConfig) -> Vec<Name> {
         let mut owners: Vec<Name> = cluster
             .databases
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Declines writes that wait at the replaced primary. They would be declined when their turn comes,
-    /// but by then their deadline may have passed.
+    /// Declines writes that are queued at the replaced primary. They would be declined when dequeued, but
+    /// their deadline may have passed by then.
     fn decline_writes_at_replaced_primary(&mut self, cluster: &Name, leader: &Name) {
         let mut waiting: Vec<WorkId> = self
             .owner
@@ -318,18 +318,18 @@
                     SupervisorEvent::DatabaseFailed { database },
                 );
             }
-            // The database follows at the next promotion or by its own team's tool.
+            // The database follows after the next promotion, or its operators make it follow.
             ReportPurpose::Follow => self.count("follows.failed", 1),
         }
     }
 
-    /// Answers of the platform about a cluster's record.
+    /// Handles an answer of the platform about a cluster's leader record.
     pub(crate) fn record_answered(&mut self, answer: PlatformAnswer) {
         let (cluster, event) = match answer {
             PlatformAnswer::RecordRead { cluster, bytes, index } => {
                 let record = bytes.as_deref().and_then(read_record);
                 if bytes.is_some() && record.is_none() {
-                    let text = format!("the record of cluster {cluster} cannot be read");
+                    let text = format!("failed to parse the leader record of cluster {cluster}");
                     self.log(LogLevel::Error, text);
                 }
                 (cluster, SupervisorEvent::RecordRead { record, index })
@@ -347,7 +347,7 @@
         self.handle_supervisor_event(cluster, SupervisorEvent::ViewArrived { from, view });
     }
 
-    /// Runs the timers of watches and supervisors that are due.
+    /// Runs the timers of monitors and supervisors that are due.
     pub(crate) fn run_cluster_timers(&mut self) {
         let now = self.now;
         let names: Vec<Name> = self.clusters.keys().cloned().collect();
@@ -362,8 +362,8 @@
         }
     }
 
-    /// Has the primary moved away from each leaving database that this node owns, once its open
-    /// transactions have ended or their time is up.
+    /// Starts a switchover from each leaving primary that this node owns, once its open transactions have
+    /// ended or their time limit has passed.
     pub(crate) fn start_switchovers(&mut self) {
         let mut moves = Vec::new();
         for (name, service) in &self.owner.services {
@@ -380,13 +380,13 @@
         }
         for (cluster, term, pins) in moves {
             for key in pins {
-                self.close_pin(key, "the primary moves away from a leaving backend server");
+                self.close_pin(key, "switchover from a leaving backend server");
             }
             self.handle_supervisor_event(&cluster, SupervisorEvent::LeaderLeaving { term });
         }
     }
 
-    /// Forgets requests that the shell never answered.
+    /// Removes report requests that the I/O driver never answered.
     pub(crate) fn expire_pending_reports(&mut self) {
         let oldest = self.now.saturating_sub(REPORT_REQUEST_TTL);
         self.reports.retain(|_, pending| pending.sent_at >= oldest);
