--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Documents, the active configuration, and membership.
+//! Documents, the active configuration, and the node registry.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,44 +12,44 @@
 use crate::Node;
 use crate::action::{LogLevel, NodeAction};
 
-/// Document with the operators' configuration.
+/// Name of the document with the operators' configuration.
 pub(crate) const CONFIG_DOCUMENT: &str = "config";
-/// Document with the keys that session tokens are signed with.
+/// Name of the document with the keys that sign session tokens.
 pub(crate) const TOKEN_KEYS_DOCUMENT: &str = "token-keys";
-/// Prefix of the platform's keys.
+/// Prefix of the document keys at the platform.
 const KEY_PREFIX: &str = "cicadawick/";
 
-/// Time for which a node holds a key before it signs with it. Changes are active everywhere within
-/// 17 s; a token signed with a key that another node does not know yet would count as forged there.
+/// Time for which a node holds a key before it signs with it. Changes reach every node within 17 s; a
+/// node that does not know the key yet would reject the token as forged.
 const SIGNING_KEY_DELAY: Micros = Micros::from_secs(20);
 
-/// What the node holds and what is active of it.
+/// The documents that the node holds and the configuration that is active.
 #[derive(Default)]
 pub(crate) struct FleetState {
     pub documents: DocumentStore,
     pub active: Option<Arc<FleetConfig>>,
     pub selectors: SelectorTable,
     pub keys: TokenKeys,
-    /// When this node first held each of `keys`.
+    /// When this node first held each key of `keys`, in the same order.
     keys_held_since: Vec<Micros>,
-    /// A held revision that cannot be activated.
+    /// Revision of the held configuration if it cannot be activated.
     pub rejected: Option<u64>,
 }
 
 impl std::fmt::Debug for FleetState {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Secrets stay out of logs.
+        // Keys must not appear in logs.
         formatter.debug_struct("FleetState").field("revision", &self.revision()).finish()
     }
 }
 
 impl FleetState {
-    /// Revision of the active configuration; 0 before the first.
+    /// Returns the revision of the active configuration, or 0 if there is none.
     pub(crate) fn revision(&self) -> u64 {
         self.active.as_ref().map_or(0, |fleet| fleet.revision)
     }
 
-    /// The key to sign with: the last one that was held long enough, else the first one.
+    /// Returns the key to sign with: the last one held for [`SIGNING_KEY_DELAY`], else the first one.
     pub(crate) fn signing_key(&self, now: Micros) -> TokenKeys {
         let held = |since: &Micros| now >= *since + SIGNING_KEY_DELAY;
         let index = self.keys_held_since.iter().rposition(held).unwrap_or(0);
@@ -66,7 +66,7 @@
     }
 }
 
-/// A document of token keys: a list, or an object with a revision and a list.
+/// The token keys document: a list, or an object with a revision and a list.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum KeysDocument {
@@ -97,8 +97,8 @@
 }
 
 impl KeysDocument {
-    /// A plain list has no revision; its highest id stands for one, because keys are only ever added
-    /// with a higher id.
+    /// Returns the revision. A plain list has none and its highest id is used, because keys are only ever
+    /// added with a higher id.
     fn revision(&self) -> u64 {
         match self {
             KeysDocument::List(keys) => keys.iter().map(|key| u64::from(key.id)).max().unwrap_or(0),
@@ -113,7 +113,7 @@
 }
 
 impl Node {
-    /// A document arrived from the platform, where its key has a prefix.
+    /// Handles a document from the platform, where its key has a prefix.
     pub(crate) fn platform_document(&mut self, document: &str, bytes: Option<&[u8]>) {
         let document = document.strip_prefix(KEY_PREFIX).unwrap_or(document);
         let Some(bytes) = bytes else { return };
@@ -130,13 +130,13 @@
             Some(revision) => self.offer_document(&document.into(), revision, bytes),
             None => {
                 self.count("documents.unreadable", 1);
-                let text = format!("document {document} at the platform cannot be read");
+                let text = format!("failed to parse document {document} from the platform");
                 self.log(LogLevel::Error, text);
             }
         }
     }
 
-    /// Takes a document if its revision is higher than the one held.
+    /// Stores and activates a document if its revision is higher than the one held.
     pub(crate) fn offer_document(&mut self, document: &Name, revision: u64, bytes: &[u8]) {
         if &**document != CONFIG_DOCUMENT && &**document != TOKEN_KEYS_DOCUMENT {
             return;
@@ -187,13 +187,13 @@
             Some(keys) => self.fleet.replace_keys(self.now, keys),
             None => {
                 self.count("documents.unreadable", 1);
-                let text = format!("failed to activate token keys {revision}");
+                let text = format!("failed to activate token keys of revision {revision}");
                 self.log(LogLevel::Error, text);
             }
         }
     }
 
-    /// Brings owned databases and watches in line with the configuration and the members.
+    /// Updates owned databases and cluster monitors after a change of the configuration or the nodes.
     pub(crate) fn update_owned_databases(&mut self) {
         let Some(fleet) = self.fleet.active.clone() else { return };
         let own = self.settings.name.clone();
@@ -225,7 +225,7 @@
         self.remove_unused_clusters();
     }
 
-    /// Drops the watch of each cluster of which this node serves no database.
+    /// Removes the monitor of each cluster of which this node serves no database.
     pub(crate) fn remove_unused_clusters(&mut self) {
         let services = &self.owner.services;
         self.clusters.retain(|name, _| services.values().any(|service| service.cluster == *name));
@@ -253,8 +253,7 @@
         self.update_watcher();
     }
 
-    /// A heartbeat's answer; from a node that is not a member yet, it is an answer to a peer of the
-    /// settings.
+    /// Handles the answer to a heartbeat. A sender that is not a member yet is a peer from the settings.
     pub(crate) fn heartbeat_answered(&mut self, heartbeat: Heartbeat) {
         let event = match self.members.member(&heartbeat.from.name).is_some() {
             true => MemberEvent::HeartbeatAnswered(heartbeat),
@@ -269,7 +268,7 @@
 
     fn member_lost(&mut self, name: &Name) {
         self.count("members.lost", 1);
-        self.log(LogLevel::Warn, format!("node {name} is gone"));
+        self.log(LogLevel::Warn, format!("node {name} was lost"));
         self.abandon_peer_requests(name);
         let mut calls: Vec<_> = self
             .entry
@@ -284,7 +283,7 @@
         }
     }
 
-    /// Starts or stops the platform's watches as this node becomes, or no longer is, the watcher.
+    /// Starts or stops the watches of the platform when this node becomes, or ceases to be, the watcher.
     pub(crate) fn update_watcher(&mut self) {
         let watcher = self.members.watcher_of(&self.settings.data_centre);
         let is_watcher = watcher.as_ref() == Some(&self.settings.name);
