--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -1,4 +1,4 @@
-//! Callers' sessions: start-up, labels, tokens and session commands.
+//! Client sessions: start-up, labels, tokens and session commands.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,11 +15,11 @@
 use crate::id::{LaneId, SessionId};
 use crate::work::{CallerRequest, ErrorReply, SessionStart, TransactionState};
 
-/// Requests that `explain` shows of a session.
+/// Number of past requests that `explain` shows for a session.
 const HISTORY_LENGTH: usize = 8;
 
-/// Start-up parameters of PostgreSQL that drivers send and that a pool can accept, because they are
-/// fixed for all connections or do not change what a statement does.
+/// PostgreSQL start-up parameters that client libraries send. A pool can accept them because they are
+/// fixed for all connections or do not change the effect of a statement.
 const ACCEPTED_PARAMETERS: &[&str] = &[
     "application_name",
     "client_encoding",
@@ -34,7 +34,7 @@
     "user",
 ];
 
-/// An open transaction and where it is pinned.
+/// An open transaction and the node that its connection belongs to.
 #[derive(Clone, Debug)]
 pub(crate) struct SessionTransaction {
     pub database: Name,
@@ -46,26 +46,27 @@
     pub has_written: bool,
 }
 
-/// One caller's connection.
+/// One client connection.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub cluster: Name,
     pub user: Name,
-    /// User, application and address, joined, for accounting and fair shares.
+    /// User, application and address, joined; used for accounting and fair shares.
     pub caller: Name,
     pub attributes: LabelSet,
     pub session_labels: LabelSet,
-    /// Accepted data age that the caller set; it can only lower the selector's.
+    /// Accepted data age set by the client; it can only lower the limit of the selector.
     pub max_age: Option<Micros>,
     /// Key for the next write.
     pub request_key: Option<Name>,
     pub token: SessionToken,
-    /// The caller brought a valid token.
+    /// The client sent a valid token.
     pub has_token: bool,
     pub arrived: Micros,
-    /// Reads go to the primary until then, because a replica had not reached the session's floor.
+    /// Time until which reads go to the primary, because a replica had not reached the session's
+    /// required position.
     pub primary_until: Micros,
-    /// Labels and policy under the configuration of this revision.
+    /// Revision of the configuration from which `labels` and `policy` were computed.
     pub revision: u64,
     pub labels: LabelSet,
     pub policy: Arc<WorkPolicy>,
@@ -81,7 +82,7 @@
         self.token.floors.get(&self.cluster).copied()
     }
 
-    /// Raises the floor of the session's cluster; it never goes down.
+    /// Raises the required position for the session's cluster; a lower position is ignored.
     pub(crate) fn raise_required_position(&mut self, floor: SessionFloor) {
         let held = self.token.floors.entry(self.cluster.clone()).or_default();
         if floor > *held {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes over the floor that a reply brought. A lost write lowers the floor and is told to the caller.
+    /// Applies the required position of a reply. A lost write lowers it and adds a notice for the client.
     pub(crate) fn update_required_position(
         &mut self,
         floor: Option<SessionFloor>,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Merges labels: those of the operators and the caller's own attributes win over session labels.
+/// Merges labels; operators' labels and client attributes override session labels.
 pub(crate) fn merge_labels(session: &LabelSet, caller: &LabelSet) -> LabelSet {
     let mut labels = session.clone();
     labels.merge(caller);
@@ -133,7 +134,7 @@
     error(
         "01000",
         format!(
-            "a write of this session may have been lost in a change of primary; reads now start \
+            "a write of this session may have been lost in a failover; reads now start \
              at term {} position {}",
             instead.term, instead.position
         ),
@@ -156,7 +157,7 @@
     find_parameter(start, "application_name").unwrap_or_default()
 }
 
-/// Attributes of a caller that are known; the others are absent, so that `!application` matches.
+/// Returns the known attributes of a client. The others are absent, so that `!application` matches.
 fn client_attributes(start: &SessionStart, user: &str, cluster: &str) -> LabelSet {
     let attributes = [
         ("user", user),
@@ -167,7 +168,7 @@
     LabelSet::from_pairs(attributes.into_iter().filter(|(_, value)| !value.is_empty()))
 }
 
-/// Checks a start-up parameter that is not the proxy's own.
+/// Checks a start-up parameter that the proxy does not define.
 fn check_parameter(name: &str, lower: &str, value: &str) -> Result<(), ErrorReply> {
     if !ACCEPTED_PARAMETERS.contains(&lower) {
         return Err(error("42704", format!("unrecognized configuration parameter {name:?}")));
@@ -239,7 +240,7 @@
         Ok(session)
     }
 
-    /// Parameters that PostgreSQL reports at start-up and drivers rely on.
+    /// Returns the parameters that PostgreSQL reports at start-up and client libraries rely on.
     fn accepted_parameters(&self, session: &Session, start: &SessionStart) -> Vec<(Name, String)> {
         let application = application_name(start);
         [
@@ -260,7 +261,7 @@
         .collect()
     }
 
-    /// Computes a session's labels and policy again if the configuration changed since.
+    /// Computes a session's labels and policy from the active configuration.
     pub(crate) fn refresh_labels(&self, session: &mut Session) {
         let caller = self.fleet.selectors.caller_labels(&session.attributes);
         session.labels = merge_labels(&session.session_labels, &caller);
@@ -292,7 +293,7 @@
                     }
                 }
                 Err(reason) => {
-                    // Without a token the floor is sampled. It has to cover writes up to now.
+                    // Without a token the required position is sampled and must cover writes up to now.
                     session.arrived = self.now;
                     self.count("tokens.refused", 1);
                     let message = format!("cicadawick.token is ignored: {reason}");
@@ -348,7 +349,7 @@
         Ok(text)
     }
 
-    /// Answers a command that sets or shows a parameter of the proxy.
+    /// Runs a command that sets or shows a parameter of the proxy.
     pub(crate) fn run_command(
         &mut self,
         session: &mut Session,
@@ -368,7 +369,7 @@
         }
     }
 
-    /// A caller's connection ended: nothing it held may stay.
+    /// Releases everything that a session holds after its client connection ended.
     pub(crate) fn close_session(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         self.entry.stop_waiting(&session.cluster, id);
