--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -1,4 +1,4 @@
-//! What a node asks its shell to do.
+//! Actions that a node requests of its I/O driver.
 
 use std::sync::Arc;
 
@@ -10,32 +10,32 @@
 use crate::id::{CallId, LaneId, ReportId, RunId, SessionId};
 use crate::work::{ErrorReply, TransactionState, WorkReply, WorkRequest};
 
-/// Where the answer of a run goes.
+/// Where the answer of an exchange goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerTarget {
     Session(SessionId),
-    /// The sink of a peer's call.
+    /// The peer's call, which receives the answer in parts.
     Call(CallId),
 }
 
-/// What the shell does with the answer of a run. `ReadyForQuery` is never relayed.
+/// How the I/O driver handles the answer of an exchange. `ReadyForQuery` is never relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayMode {
     /// Keep only the summary.
     Collect,
     /// Hold the first bytes and send `RunStarted`; `Relay` or `Discard` follows.
     Decide(AnswerTarget),
-    /// Relay rows as they come, hold back each `CommandComplete` and what follows it until `Relay`
-    /// or `Discard`. Up to the held-answer bound everything is held.
+    /// Hold the answer until `Relay` or `Discard`. Beyond the size limit of held answers, relay rows as
+    /// they arrive and hold only each `CommandComplete` and what follows it.
     Hold(AnswerTarget),
-    /// Relay as it comes.
+    /// Relay the answer as it arrives.
     Stream(AnswerTarget),
 }
 
-/// An action; the shell carries actions out in order.
+/// An action. The I/O driver executes actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeAction {
-    // Callers.
+    // Clients.
     /// Authentication succeeded: send the parameters and `ReadyForQuery`.
     AcceptSession {
         session: SessionId,
@@ -52,7 +52,7 @@
         token: Option<String>,
         notices: Vec<ErrorReply>,
         error: Option<ErrorReply>,
-        /// Message frames to send first, for answers that the proxy makes itself.
+        /// Message frames to send first, for answers that the proxy builds itself.
         frames: Bytes,
         transaction: TransactionState,
     },
@@ -77,21 +77,21 @@
         frames: Bytes,
         mode: RelayMode,
     },
-    /// Sends a PostgreSQL cancel request for the run.
+    /// Send a PostgreSQL cancel request for the exchange.
     CancelRun {
         connection: ConnectionId,
         run: RunId,
     },
-    /// Relay what is held of the run's answer, and the rest as it comes.
+    /// Relay the held part of the exchange's answer, and the rest as it arrives.
     Relay {
         run: RunId,
     },
-    /// Drop what is held, and the rest.
+    /// Discard the held part of the exchange's answer, and the rest.
     Discard {
         run: RunId,
     },
 
-    // Report connections: opened by the shell on demand, one for each database.
+    // Report connections: the I/O driver opens them on demand, one for each database.
     AskReport {
         id: ReportId,
         database: Name,
@@ -134,7 +134,7 @@
         to: MemberInfo,
         cluster: Name,
     },
-    /// Forward work; with a lane, on the transaction pinned there.
+    /// Forward a request; with a lane, to the transaction pinned there.
     Forward {
         call: CallId,
         session: SessionId,
@@ -142,7 +142,7 @@
         lane: Option<LaneId>,
         work: Box<WorkRequest>,
     },
-    /// Cancels the call at the peer; `ForwardAnswered` or `ForwardFailed` still follows.
+    /// Cancel the call at the peer; `ForwardAnswered` or `ForwardFailed` still follows.
     CancelForward {
         call: CallId,
     },
@@ -158,7 +158,7 @@
     },
 
     // Platform.
-    /// Start, or with `false` stop, the watches of the data centre's watcher.
+    /// Start the watches of the platform, or stop them if `false`. One node of each data centre runs them.
     WatchPlatform(bool),
     ReadRecord {
         cluster: Name,
@@ -170,14 +170,14 @@
     },
 
     // Process.
-    /// All requests are finished and all sessions closed.
+    /// The shutdown ended: all sessions are closed, because requests finished or the timeout passed.
     ShutdownComplete,
-    /// A change of state, for the log.
+    /// Write a log line.
     Log {
         level: LogLevel,
         message: String,
     },
-    /// Adds to a counter.
+    /// Add to a counter.
     Count {
         counter: &'static str,
         amount: u64,
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node.
+//! Events that a node handles.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use crate::id::{CallId, LaneId, ReportId, RunId, SessionId};
 use crate::work::{CallerRequest, RunSummary, SessionStart, WorkReply, WorkRequest};
 
-/// An event, in the order in which the shell saw it.
+/// An event. The I/O driver passes events in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
-    // Callers.
+    // Clients.
     SessionOpened {
         session: SessionId,
         start: SessionStart,
     },
-    /// The next request of a session; the shell sends one at a time.
+    /// The next request of a session; the I/O driver sends one at a time.
     RequestArrived {
         session: SessionId,
         request: CallerRequest,
@@ -35,19 +35,19 @@
     BackendOpened {
         connection: ConnectionId,
     },
-    /// The connection could not be opened, or was lost; a run on it is over.
+    /// The connection could not be opened or was lost; an exchange on it has ended.
     BackendLost {
         connection: ConnectionId,
         message: String,
     },
     /// The first byte of an answer in mode `Decide`. Not sent for an answer that starts with an
-    /// `ErrorResponse`: the shell holds it and `RunFinished` leads to `Relay` or `Discard`.
+    /// `ErrorResponse`: the I/O driver holds it until `RunFinished` leads to `Relay` or `Discard`.
     RunStarted {
         connection: ConnectionId,
         run: RunId,
     },
-    /// Rows of a held answer went out because they exceed the bound; only the completion is still
-    /// held. Sent before the run's end or the loss of its connection.
+    /// Rows of a held answer were relayed because they exceed the size limit; only the completion is
+    /// still held. Sent before the end of the exchange or the loss of its connection.
     HeldRowsRelayed {
         connection: ConnectionId,
         run: RunId,
@@ -72,7 +72,7 @@
         id: ReportId,
         start: LogPosition,
     },
-    /// The request failed, or the connection.
+    /// The request or its connection failed.
     ReportFailed {
         id: ReportId,
     },
@@ -94,18 +94,18 @@
         from: Name,
         view: Option<LeaderView>,
     },
-    /// A peer forwards work. With a lane, the work belongs to the transaction pinned on it.
+    /// A peer forwards a request. With a lane, the request belongs to the transaction pinned there.
     ForwardArrived {
         call: CallId,
         from: Name,
         lane: Option<LaneId>,
         work: Box<WorkRequest>,
     },
-    /// The peer wants the call cancelled; it is still answered, if only to be ignored.
+    /// The peer cancels the call. The call is still answered, although the peer may ignore the answer.
     ForwardCancelled {
         call: CallId,
     },
-    /// The peer dropped the lane, or the link to it was lost.
+    /// The peer dropped the lane, or the connection to the peer was lost.
     LaneDropped {
         lane: LaneId,
     },
@@ -115,9 +115,9 @@
         reply: WorkReply,
         lane: Option<LaneId>,
     },
-    /// The link broke: `sent` tells whether the request may have reached the peer. If a part of the
-    /// answer was already relayed to the caller, the shell reports `ForwardAnswered` with
-    /// `WorkReply::ReadFailed { relayed: true, .. }` instead, for reads and writes alike.
+    /// The connection to the peer was lost; `sent` tells whether the request may have reached it. If a
+    /// part of the answer was already relayed to the client, the I/O driver reports `ForwardAnswered`
+    /// with `WorkReply::ReadFailed { relayed: true, .. }` instead, for reads and writes alike.
     ForwardFailed {
         call: CallId,
         sent: bool,
@@ -140,7 +140,7 @@
         bytes: Option<Arc<[u8]>>,
     },
     VmList(Vec<PlatformVm>),
-    /// A cluster's record.
+    /// The leader record of a cluster.
     RecordRead {
         cluster: Name,
         bytes: Option<Arc<[u8]>>,
@@ -150,13 +150,13 @@
         cluster: Name,
         applied: bool,
     },
-    /// The call about the cluster's record failed or timed out.
+    /// The read or write of the cluster's leader record failed or timed out.
     RecordFailed {
         cluster: Name,
     },
 }
 
-/// Questions of operators that the node answers at once with JSON.
+/// Operator queries, which the node answers at once with JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
     Dump,
@@ -165,7 +165,7 @@
         measure: stats::CallerMeasure,
         rows: usize,
     },
-    /// What happens to a caller with these attributes and session labels.
+    /// How requests of a client with these attributes and session labels are routed.
     Explain {
         attributes: model::LabelSet,
         labels: model::LabelSet,
--- a/crates/node/src/id.rs
+++ b/crates/node/src/id.rs
@@ -9,7 +9,7 @@
 }
 
 identifier!(
-    /// A caller's connection.
+    /// A client connection.
     SessionId
 );
 identifier!(
@@ -21,7 +21,7 @@
     RunId
 );
 identifier!(
-    /// A connection that is pinned for a peer's session while a transaction is open.
+    /// A lane: the ordered channel to a connection that is pinned for a transaction of a peer's session.
     LaneId
 );
 identifier!(
--- a/crates/node/src/work.rs
+++ b/crates/node/src/work.rs
@@ -1,41 +1,42 @@
-//! Requests and their answers, as they pass between sessions, pool owners and backend servers.
+//! Requests and replies that pass between sessions, owners and backend servers.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use model::{LabelSet, Micros, Name, Rank, SessionFloor};
 
-/// A caller's start-up.
+/// The start-up message of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SessionStart {
-    /// Start-up parameters, `user` and `database` among them; `options` already split.
+    /// Start-up parameters, including `user` and `database`. The value of `options` is already split into
+    /// parameters.
     pub parameters: Vec<(Name, String)>,
-    /// The caller's IP address.
+    /// The client's IP address.
     pub address: Name,
 }
 
-/// How the caller sent a request.
+/// The protocol that the client used for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// One `Query` message.
     Simple,
-    /// Extended messages up to and with `Sync`.
+    /// Messages of the extended protocol up to and including `Sync`.
     Extended,
 }
 
-/// One request of a caller, cut out of its messages by the shell.
+/// One client request, as the I/O driver separates it from the client's messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
     pub kind: RequestKind,
-    /// Text of the statement, or of all statements that the extended messages parse or execute, one
-    /// per line end with a semicolon between.
+    /// Text of the statement. For extended messages, the texts of all statements that they parse or
+    /// execute, separated by a semicolon and a line end.
     pub text: Arc<str>,
-    /// The messages as they go to the backend server. For extended messages the shell replaces the
-    /// statement names by names derived from the text and adds the `Parse` where needed.
+    /// The messages to send to the backend server. For extended messages the I/O driver replaces
+    /// statement names with names derived from the text and adds a `Parse` where needed.
     pub frames: Bytes,
 }
 
-/// Transaction state that a backend server reports.
+/// Transaction state as reported by a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
     #[default]
@@ -44,7 +45,7 @@
     Failed,
 }
 
-/// An error that a caller sees.
+/// An error or notice for a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorReply {
     /// SQLSTATE.
@@ -52,7 +53,7 @@
     pub message: String,
 }
 
-/// End of a run on a backend connection.
+/// Result of an exchange on a backend connection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunSummary {
     pub transaction: TransactionState,
@@ -60,87 +61,94 @@
     pub command_tag: Option<String>,
     /// The first error, if any.
     pub error: Option<ErrorReply>,
-    /// Columns of the first row as text, for runs whose mode is `Collect`.
+    /// Columns of the first row as text, in mode `Collect`.
     pub first_row: Vec<Option<String>>,
 }
 
-/// A request on its way to a pool owner, local or forwarded by one hop.
+/// A request for the owner of a database, which is this node or a peer one hop away.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkRequest {
     pub database: Name,
-    /// The caller's user, application and address, joined; accounting and fair shares go by it.
+    /// The client's user, application and address, joined; used for accounting and fair shares.
     pub caller: Name,
     pub labels: LabelSet,
     pub selector: Name,
     pub rank: Rank,
-    /// Time that is left until the deadline.
+    /// Time left until the deadline.
     pub time_left: Micros,
     pub read: bool,
-    /// The statement commits: it is a write outside a transaction, or a `COMMIT` of one that wrote.
+    /// The statement commits: it is a write outside a transaction, or the `COMMIT` of a transaction that
+    /// wrote.
     pub commits: bool,
     pub durable: bool,
     /// Accepted data age; `None` if the read needs the primary.
     pub max_age: Option<Micros>,
     pub floor: Option<SessionFloor>,
-    /// Time since the session arrived, if it came without a token and has no floor yet.
+    /// Time since the session opened, if it has neither a token nor a required position.
     pub arrived_ago: Option<Micros>,
     pub request_key: Option<Name>,
     pub user: Name,
     pub request: CallerRequest,
 }
 
-/// Why a pool owner did not run a request. Nothing was sent.
+/// Why an owner did not run a request. Nothing was sent to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeclineReason {
-    /// Another database leads, if known.
-    NotLeader { leader: Option<Name> },
-    /// The data age or session floor cannot be proved.
+    /// The database is not the primary; `leader` is, if known.
+    NotLeader {
+        leader: Option<Name>,
+    },
+    /// The data age or the required position cannot be proved.
     NoProof,
     /// This node does not own the database.
-    NotOwner { owner: Name },
+    NotOwner {
+        owner: Name,
+    },
     /// The backend server is leaving, or unreachable.
     Unavailable,
-    /// The queue is full.
-    QueueFull { limit: u32 },
+    QueueFull {
+        limit: u32,
+    },
     /// The deadline cannot be met.
-    Deadline { expected: Micros },
+    Deadline {
+        expected: Micros,
+    },
     /// The node is shutting down.
     Leaving,
 }
 
-/// The end of a request at its pool owner. Rows have already been relayed.
+/// The result of a request at its owner. Rows are relayed separately, before it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkReply {
-    /// The answer was relayed whole.
+    /// The answer was relayed completely.
     Done {
         transaction: TransactionState,
         /// Set after an acknowledged write.
         floor: Option<SessionFloor>,
-        /// Write of the session that was lost in a change of primary; the floor to use instead.
+        /// Set if a write of the session was lost in a failover: the required position to use instead.
         lost: Option<SessionFloor>,
-        /// Data age that the owner can prove now, a hint for later choices.
+        /// Data age that the owner can prove now; a hint for routing.
         age: Option<Micros>,
-        /// Expected wait for a slot, a hint for later choices.
+        /// Expected wait for a slot; a hint for routing.
         wait: Micros,
     },
-    /// The owner relayed nothing and the entry proxy makes the answer itself: the recorded outcome of
-    /// a repeated request key, or an error such as `22023` for a key that belongs to another
-    /// statement.
+    /// The owner relayed nothing and the entry node builds the answer: the recorded outcome of a repeated
+    /// request key, or an error such as `22023` for a key that belongs to another statement.
     Recorded {
-        /// Tag of the `CommandComplete` of the first run; `None` if there is an error.
+        /// Tag of the `CommandComplete` of the first execution; `None` if there is an error.
         command_tag: Option<String>,
         error: Option<ErrorReply>,
         transaction: TransactionState,
-        /// Covers the recorded write.
+        /// Required position that covers the recorded write.
         floor: Option<SessionFloor>,
     },
     /// Nothing was sent to the backend server.
     Declined { reason: DeclineReason, age: Option<Micros>, wait: Micros },
     /// The transaction was rolled back before its commit was sent.
     RolledBack { message: String },
-    /// The outcome is not known.
+    /// The outcome of the write is not known.
     Unknown { message: String },
-    /// An answer broke off; `relayed` tells whether a part of it went out. For a write, whose outcome
-    /// is then unknown, it always did: the write must not be tried again, not even with a request key.
+    /// An answer was interrupted; `relayed` tells whether a part of it was relayed. For a write it is
+    /// always true and the outcome is unknown: the write must not be retried, not even with a request key.
     ReadFailed { relayed: bool, message: String },
 }
