--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,18 +1,18 @@
-//! All decisions of one process, behind one event type and one action type.
+//! Decision core of the proxy process: a state machine with one event type and one action type.
 //!
-//! [`Node`] joins sessions, routing, queues, pools, evidence, promotions, membership and
-//! configuration. It has no clock, socket, thread or unseeded random number: the shell (the crate
-//! `daemon`, or a test or bench) passes [`NodeEvent`]s with the time and carries out the
-//! [`NodeAction`]s.
+//! [`Node`] combines sessions, routing, queues, connection pools, proofs, promotions, the node registry
+//! and the configuration. It has no clock, socket, thread or unseeded random number generator. The I/O
+//! driver (the crate `daemon`, a test or a benchmark) passes [`NodeEvent`]s with the time and executes
+//! the [`NodeAction`]s.
 //!
-//! Rows of answers do not pass through the node. The shell relays them between sockets once the node
-//! has dispatched a run, and tells the node only of the first byte and the end, at which the node
-//! decides whether to relay, discard or hold.
-
-//! [`NodeEvent`] is dispatched to the area that it concerns: `session` and `entry` for callers, `owner`,
-//! `run`, `keyed` and `proof` for databases that this node owns, `cluster` for evidence and promotions,
-//! `fleet` for documents and membership. What an event causes elsewhere is queued as a step and done
-//! before [`Node::handle`] returns.
+//! Rows of answers do not pass through the node. The I/O driver relays them between sockets once the
+//! node has dispatched an exchange, and reports only the first byte and the end. The node then decides
+//! whether to relay, discard or hold the answer.
+//!
+//! Each [`NodeEvent`] is dispatched to a module: `session` and `entry` for clients; `owner`, `exchange`,
+//! `keyed` and `proof` for databases that this node owns; `cluster` for monitoring and promotions;
+//! `fleet` for documents and the node registry. Effects on other modules are queued as steps, which
+//! are run before [`Node::handle`] returns.
 
 mod action;
 mod cluster;
@@ -58,13 +58,13 @@
 use step::PendingStep;
 use timer::{TimerHeap, TimerKey};
 
-/// Callers that the accounting table keeps for each measure.
+/// Number of callers that the accounting table keeps for each measure.
 const ACCOUNTED_CALLERS: usize = 2_048;
 
-/// Interval of the work that no event causes: closing surplus connections, forgetting.
+/// Interval of periodic maintenance, such as closing surplus connections and removing unused state.
 const HOUSEKEEPING_INTERVAL: Micros = Micros::from_secs(1);
 
-/// All decisions of one process.
+/// The decision core of one process.
 #[derive(Debug)]
 pub struct Node {
     settings: NodeSettings,
@@ -89,8 +89,8 @@
 }
 
 impl Node {
-    /// Creates a node that knows only its settings. `seed` drives its random choices, `incarnation`
-    /// grows with each start of the process. The first [`NodeEvent::Timer`] is due at once.
+    /// Creates a node without documents or peers. `seed` seeds its random choices; `incarnation` grows
+    /// with each start of the process. The first [`NodeEvent::Timer`] is due at once.
     ///
     /// ```
     /// # let address: std::net::SocketAddr = "127.0.0.1:0".parse()?;
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Handles an event at the time `now`, which never goes back, and appends what the shell has to
-    /// do to `actions`, in order.
+    /// Handles an event at the time `now`, which must never decrease, and appends the resulting actions
+    /// to `actions`, in order.
     pub fn handle(&mut self, now: Micros, event: NodeEvent, actions: &mut Vec<NodeAction>) {
         self.now = self.now.max(now);
         std::mem::swap(&mut self.actions, actions);
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Tells whether a timer is still what its owner waits for.
+    /// Returns whether a timer is still the valid one of its session or request.
     fn is_timer_current(&self, due: Micros, key: TimerKey) -> bool {
         let current = match key {
             TimerKey::Session(session) => self
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Returns when the next [`NodeEvent::Timer`] is due. Changes with every event.
+    /// Returns when the next [`NodeEvent::Timer`] is due. It may change with every event.
     pub fn next_timer(&self) -> Option<Micros> {
         let clusters = self
             .clusters
@@ -321,12 +321,12 @@
             .min()
     }
 
-    /// Answers an operator's question. Unknown sessions and clusters give `{"error": ...}`.
+    /// Answers an operator query. Unknown sessions and clusters give `{"error": ...}`.
     pub fn answer(&self, now: Micros, call: &OperatorCall) -> serde_json::Value {
         self.answer_operator(now.max(self.now), call)
     }
 
-    /// Returns the heartbeat to answer a peer's heartbeat with.
+    /// Returns the heartbeat that answers a peer's heartbeat.
     pub fn heartbeat(&self) -> Option<Heartbeat> {
         Some(self.members.heartbeat())
     }
@@ -341,7 +341,8 @@
         self.members.members()
     }
 
-    /// Returns this node's view of a cluster for another supervisor; `None` if it does not watch it.
+    /// Returns this node's view of a cluster for another supervisor; `None` if the node does not monitor
+    /// the cluster.
     pub fn view(&self, now: Micros, cluster: &str) -> Option<failover::LeaderView> {
         self.clusters.get(cluster).map(|state| state.monitor.view(now.max(self.now)))
     }
