--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: no new sessions, requests in flight finish, idle sessions end.
+//! Graceful shutdown: new sessions are refused, requests in progress finish, idle sessions are closed.
 
 use member::MemberEvent;
 use model::Micros;
@@ -14,7 +14,7 @@
     #[default]
     Serving,
     Draining {
-        /// When what is left is ended by force.
+        /// When the remaining sessions and transactions are closed by force.
         until: Micros,
     },
     Complete,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Tells the shell once all work is finished, or the time for it is over.
+    /// Reports the end of the shutdown once all requests have finished or the drain timeout has passed.
     pub(crate) fn check_drained(&mut self) {
         let DrainState::Draining { until } = self.drain else { return };
         let overdue = self.now >= until;
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -1,15 +1,15 @@
-//! PostgreSQL message frames that a node reads or makes itself.
+//! PostgreSQL message frames that a node parses or builds.
 //!
-//! Answers of backend servers never pass through the node. It makes the few frames of session
-//! commands, of recorded outcomes and of its own queries, and walks the messages of a request to
-//! answer each of them.
+//! Answers of backend servers never pass through the node. It builds the frames that answer session
+//! commands and repeated request keys and those of its own queries. It parses the messages of a request
+//! to answer each of them.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use sha2::{Digest, Sha256};
 
 use crate::work::{CallerRequest, RequestKind};
 
-/// An answer that the proxy makes itself.
+/// An answer that the proxy builds itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ProxyAnswer<'a> {
     Complete { tag: &'a str },
@@ -17,16 +17,17 @@
     EmptyQuery,
 }
 
-const TEXT_TYPE: u32 = 25;
+/// PostgreSQL type OID of `text`.
+const TEXT_TYPE_OID: u32 = 25;
 
-/// Makes a `Query` message.
+/// Builds a `Query` message.
 pub(crate) fn simple_query(text: &str) -> Bytes {
     let mut frames = BytesMut::new();
     put_message(&mut frames, b'Q', |body| put_text(body, text));
     frames.freeze()
 }
 
-/// Makes the messages that answer a request, without `ReadyForQuery`.
+/// Builds the messages that answer a request, without `ReadyForQuery`.
 pub(crate) fn proxy_answer(request: &CallerRequest, answer: ProxyAnswer<'_>) -> Bytes {
     let mut frames = BytesMut::new();
     match request.kind {
@@ -60,13 +61,13 @@
     frames.freeze()
 }
 
-/// Tells whether a request executes a statement, or only prepares and describes some.
+/// Returns whether a request executes a statement, rather than only preparing or describing it.
 pub(crate) fn executes(request: &CallerRequest) -> bool {
     request.kind == RequestKind::Simple || messages(&request.frames).any(|(kind, _)| kind == b'E')
 }
 
-/// Returns a hash over the statement text and all bound values, in hexadecimal. The messages as a
-/// whole would not do: whether a `Parse` is among them depends on the connection.
+/// Returns a hash of the statement text and all bound values, in hexadecimal. It does not cover the
+/// other messages, because the presence of a `Parse` depends on the connection.
 pub(crate) fn statement_hash(request: &CallerRequest) -> String {
     let mut hash = Sha256::new();
     hash.update(request.text.as_bytes());
@@ -79,7 +80,7 @@
     hash.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Quotes a text as an SQL constant that reads the same under every setting of
+/// Quotes a text as an SQL constant that is valid under every setting of
 /// `standard_conforming_strings`.
 pub(crate) fn quote_text(text: &str) -> String {
     let doubled = text.replace('\0', "").replace('\'', "''");
@@ -89,7 +90,7 @@
     }
 }
 
-/// Splits frames into message types and bodies; stops at a frame that is cut off.
+/// Splits frames into message types and bodies; stops at a truncated frame.
 fn messages(frames: &[u8]) -> impl Iterator<Item = (u8, &[u8])> {
     let mut rest = frames;
     std::iter::from_fn(move || {
@@ -121,7 +122,7 @@
         put_text(body, column);
         body.put_u32(0);
         body.put_u16(0);
-        body.put_u32(TEXT_TYPE);
+        body.put_u32(TEXT_TYPE_OID);
         body.put_i16(-1);
         body.put_i32(-1);
         body.put_u16(0);
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -8,9 +8,9 @@
 use crate::event::OperatorCall;
 use crate::session::merge_labels;
 
-/// Sessions in progress, and idle ones, that a dump lists; the counts cover all.
+/// Maximum number of busy sessions, and of idle ones, that a dump lists. The counts cover all sessions.
 const DUMPED_SESSIONS: usize = 100;
-/// Labels that a dump lists for each session.
+/// Maximum number of labels that a dump lists for each session.
 const DUMPED_LABELS: usize = 32;
 
 impl Node {
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Log of the leader that a database has not applied yet.
+    /// Returns the number of bytes of the leader's log that a database has not applied yet.
     fn unapplied_bytes(&self, cluster: &Name, database: &Name) -> Option<u64> {
         let monitor = &self.clusters.get(cluster)?.monitor;
         let leader = monitor.view(self.now).leader?;
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -1,4 +1,4 @@
-//! Leader records as JSON at the platform.
+//! JSON format of the leader records that the platform stores.
 
 use failover::{LeaderRecord, RecordState};
 use model::{LogPosition, Name, Term};
@@ -18,7 +18,6 @@
     Leading { leader: Name, start: LogPosition },
 }
 
-/// Writes a record.
 pub(crate) fn write_record(record: &LeaderRecord) -> Vec<u8> {
     let state = match record.state.clone() {
         RecordState::Electing { by } => StateText::Electing { by },
@@ -27,7 +26,7 @@
     serde_json::to_vec(&RecordText { term: record.term, state }).unwrap_or_default()
 }
 
-/// Reads a record; `None` if the bytes are not one.
+/// Parses a record; `None` if the bytes are not a valid one.
 pub(crate) fn read_record(bytes: &[u8]) -> Option<LeaderRecord> {
     let text: RecordText = serde_json::from_slice(bytes).ok()?;
     let state = match text.state {
--- a/crates/node/src/step.rs
+++ b/crates/node/src/step.rs
@@ -1,4 +1,4 @@
-//! Follow-up work of an event, done in order after it so that no function calls itself through others.
+//! Steps that follow an event. They are queued and run in order after it, which avoids recursion.
 
 use model::Name;
 
@@ -10,8 +10,8 @@
 pub(crate) enum PendingStep {
     /// Route a session's request.
     Route(SessionId),
-    /// The local owner's reply to a session.
+    /// Pass the local owner's reply to a session.
     Reply { session: SessionId, path: AttemptPath, reply: WorkReply, lane: Option<LaneId> },
-    /// Grant slots and connections of a database.
+    /// Grant slots and connections of a database to waiting requests.
     ServeQueue(Name),
 }
--- a/crates/node/src/timer.rs
+++ b/crates/node/src/timer.rs
@@ -1,4 +1,4 @@
-//! Deadlines of sessions and of work.
+//! Timers of sessions and owner requests.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,15 +8,15 @@
 
 use crate::id::SessionId;
 
-/// Whose deadline it is.
+/// The session or request that a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKey {
     Session(SessionId),
     OwnerRequest(WorkId),
 }
 
-/// Deadlines in order. An entry is not removed when its deadline changes; its owner keeps the time
-/// that counts and entries with another time are dropped when they reach the top.
+/// Timers in order of their due times. An entry is not removed when its timer changes: the session or
+/// request stores the valid time, and entries with another time are dropped when they reach the top.
 #[derive(Debug, Default)]
 pub(crate) struct TimerHeap(BinaryHeap<Reverse<(Micros, TimerKey)>>);
 
