--- a/crates/node/tests/driver/mod.rs
+++ b/crates/node/tests/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Drives several nodes in virtual time against scripted backend servers, without sockets.
+//! An I/O driver for tests: runs several nodes in virtual time against fake databases, without sockets.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -12,11 +12,11 @@
 use model::{LogPosition, Micros, Name, NodeSettings, Term};
 use node::*;
 
-pub const LINK: Micros = Micros::from_millis(1);
+pub const NETWORK_DELAY: Micros = Micros::from_millis(1);
 
-/// A backend server.
+/// A fake backend server.
 #[derive(Clone, Debug)]
-pub struct Database {
+pub struct FakeDatabase {
     pub primary: bool,
     pub term: u64,
     pub log_term: u64,
@@ -28,26 +28,26 @@
     pub down: bool,
     /// Answers nothing.
     pub frozen: bool,
-    /// Receives log and does not apply it.
+    /// Receives log but does not apply it.
     pub lags: bool,
-    pub run_time: Micros,
-    /// Loses the connection when the next statement with this text arrives; true: after its effect.
+    pub service_time: Micros,
+    /// Loses the connection at the next statement that contains this text: after its effect if true,
+    /// else before it.
     pub lose_next: Option<(&'static str, bool)>,
-    /// Held answers exceed the bound, so that their rows go out.
+    /// Held answers exceed the size limit, so that their rows are relayed.
     pub large_answers: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Connection {
     database: String,
-
     state: TransactionState,
     writes: Vec<String>,
     keys: Vec<(String, String, String, Option<String>)>,
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct BackendExchange {
     session: Option<(usize, SessionId)>,
     mode: RelayMode,
     text: String,
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Finish {
+pub struct RequestEnd {
     pub at: Micros,
     pub error: Option<ErrorReply>,
     pub notices: Vec<ErrorReply>,
@@ -67,13 +67,13 @@
     pub relayed: Vec<String>,
 }
 
-impl Finish {
+impl RequestEnd {
     pub fn code(&self) -> &str {
         self.error.as_ref().map_or("", |error| &error.code)
     }
 }
 
-enum Item {
+enum ScheduledItem {
     Event(usize, NodeEvent),
     Execute { node: usize, connection: ConnectionId, run: RunId, text: String, mode: RelayMode },
     Replicate { database: String, term: u64, position: u64 },
@@ -87,27 +87,27 @@
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub names: Vec<String>,
-    pub dead: Vec<bool>,
-    items: BTreeMap<(Micros, u64), Item>,
+    pub killed: Vec<bool>,
+    items: BTreeMap<(Micros, u64), ScheduledItem>,
     sequence: u64,
-    /// Events given to nodes.
-    pub handled: u64,
-    pub databases: BTreeMap<String, Database>,
+    /// Number of events that nodes handled.
+    pub handled_events: u64,
+    pub databases: BTreeMap<String, FakeDatabase>,
     connections: HashMap<(usize, ConnectionId), Connection>,
-    runs: HashMap<(usize, RunId), Run>,
-    /// Call at the entry node, by owner and call there, and back.
+    exchanges: HashMap<(usize, RunId), BackendExchange>,
+    /// Entry node and its call, by owner and the owner's call; `outgoing` is the reverse.
     incoming: HashMap<(usize, CallId), (usize, CallId, SessionId)>,
     outgoing: HashMap<(usize, CallId), (usize, CallId)>,
-    /// Lane at the owner, by entry node and lane there, and back.
+    /// Owner and its lane, by entry node and the entry node's lane; `entry_lanes` is the reverse.
     lanes: HashMap<(usize, LaneId), (usize, LaneId)>,
     entry_lanes: HashMap<(usize, LaneId), (usize, LaneId)>,
     records: HashMap<Name, (Arc<[u8]>, u64)>,
     pub keys: BTreeMap<(String, String), (String, Option<String>)>,
-    /// Writes that committed, with the database.
+    /// Committed writes: the database and the text.
     pub committed: Vec<(String, String)>,
-    /// Statements of callers that reached a backend server.
-    pub reached: Vec<(String, String)>,
-    pub finishes: HashMap<(usize, SessionId), Vec<Finish>>,
+    /// Client statements that reached a backend server: the database and the text.
+    pub received_statements: Vec<(String, String)>,
+    pub finishes: HashMap<(usize, SessionId), Vec<RequestEnd>>,
     relayed: HashMap<(usize, SessionId), Vec<String>>,
     pub accepted: Vec<(usize, SessionId)>,
     pub refused: Vec<(usize, SessionId, ErrorReply)>,
@@ -137,7 +137,7 @@
     }
 }
 
-/// The configuration text of three databases in one cluster.
+/// Returns a configuration of three databases in one cluster.
 pub fn fleet_text(extra: &str) -> String {
     let databases: Vec<String> = (1..=3)
         .map(|n| {
@@ -174,16 +174,15 @@
     br#"[{"id":1,"secret":"0101010101010101010101010101010101010101010101010101010101010101"}]"#;
 
 impl Driver {
-    /// Starts nodes `n1` to `nN` and the databases `db1` (primary) to `db3`, and waits until they
-    /// have settled.
+    /// Starts nodes `n1` to `nN` and the databases `db1` (primary) to `db3`, and runs them for 5 s.
     pub fn start(count: usize) -> Self {
-        let mut driver = Driver::cold(count, 1);
+        let mut driver = Driver::start_unsettled(count, 1);
         driver.advance(Micros::from_secs(5));
         driver
     }
 
-    /// Like [`Driver::start`] but at time zero; with term 0 no database is a primary.
-    pub fn cold(count: usize, term: u64) -> Self {
+    /// Like [`Driver::start`], but without the 5 s. With term 0 no database is a primary.
+    pub fn start_unsettled(count: usize, term: u64) -> Self {
         let names: Vec<String> = (1..=count).map(|n| format!("n{n}")).collect();
         let nodes = names.iter().enumerate();
         let nodes =
@@ -191,14 +190,14 @@
         let mut driver = Driver {
             now: Micros::from_secs(100),
             nodes,
-            dead: vec![false; count],
+            killed: vec![false; count],
             names,
             items: BTreeMap::new(),
             sequence: 0,
-            handled: 0,
+            handled_events: 0,
             databases: BTreeMap::new(),
             connections: HashMap::new(),
-            runs: HashMap::new(),
+            exchanges: HashMap::new(),
             incoming: HashMap::new(),
             outgoing: HashMap::new(),
             lanes: HashMap::new(),
@@ -206,7 +205,7 @@
             records: HashMap::new(),
             keys: BTreeMap::new(),
             committed: Vec::new(),
-            reached: Vec::new(),
+            received_statements: Vec::new(),
             finishes: HashMap::new(),
             relayed: HashMap::new(),
             accepted: Vec::new(),
@@ -218,7 +217,7 @@
             platform_down: false,
         };
         for n in 1..=3 {
-            let database = Database {
+            let database = FakeDatabase {
                 primary: n == 1 && term > 0,
                 term,
                 log_term: term,
@@ -229,7 +228,7 @@
                 down: false,
                 frozen: false,
                 lags: false,
-                run_time: Micros::from_millis(2),
+                service_time: Micros::from_millis(2),
                 lose_next: None,
                 large_answers: false,
             };
@@ -253,43 +252,43 @@
             }
         });
         let rows = PlatformAnswer::VmList(rows.collect());
-        self.event_in(LINK, node, NodeEvent::PlatformAnswered(rows));
+        self.schedule_event(NETWORK_DELAY, node, NodeEvent::PlatformAnswered(rows));
     }
 
-    fn later(&mut self, after: Micros, item: Item) {
+    fn schedule(&mut self, after: Micros, item: ScheduledItem) {
         self.sequence += 1;
         self.items.insert((self.now + after, self.sequence), item);
     }
 
-    fn event_in(&mut self, after: Micros, node: usize, event: NodeEvent) {
-        self.later(after, Item::Event(node, event));
+    fn schedule_event(&mut self, after: Micros, node: usize, event: NodeEvent) {
+        self.schedule(after, ScheduledItem::Event(node, event));
     }
 
     fn index(&self, name: &str) -> usize {
         self.names.iter().position(|other| other == name).unwrap()
     }
 
-    /// Gives an event to a node now.
-    pub fn give(&mut self, node: usize, event: NodeEvent) {
-        if self.dead[node] {
+    /// Passes an event to a node at the current time.
+    pub fn handle_event(&mut self, node: usize, event: NodeEvent) {
+        if self.killed[node] {
             return;
         }
-        self.handled += 1;
-        assert!(self.handled < 400_000, "too many events; {}", self.logs.join("\n"));
+        self.handled_events += 1;
+        assert!(self.handled_events < 400_000, "too many events; {}", self.logs.join("\n"));
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(node, action);
+            self.execute_action(node, action);
         }
     }
 
-    /// Runs until `span` has passed.
+    /// Runs all events until `span` has passed.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         let mut turns = 0;
         loop {
             let item = self.items.first_key_value().map(|((at, _), _)| *at);
-            let alive = self.nodes.iter().enumerate().filter(|(at, _)| !self.dead[*at]);
+            let alive = self.nodes.iter().enumerate().filter(|(at, _)| !self.killed[*at]);
             let timer =
                 alive.filter_map(|(at, node)| Some((node.next_timer()?.max(self.now), at))).min();
             let next = match (item, timer) {
@@ -303,24 +302,24 @@
                 return;
             }
             turns = if next > self.now { 0 } else { turns + 1 };
-            assert!(turns < 20_000, "time stands still at {}", self.now);
+            assert!(turns < 20_000, "too many events at time {}", self.now);
             self.now = next;
             if item == Some(next) {
                 let (_, item) = self.items.pop_first().unwrap();
                 self.run_item(item);
             } else if let Some((_, node)) = timer {
-                self.give(node, NodeEvent::Timer);
+                self.handle_event(node, NodeEvent::Timer);
             }
         }
     }
 
-    fn run_item(&mut self, item: Item) {
+    fn run_item(&mut self, item: ScheduledItem) {
         match item {
-            Item::Event(node, event) => self.give(node, event),
-            Item::Execute { node, connection, run, text, mode } => {
+            ScheduledItem::Event(node, event) => self.handle_event(node, event),
+            ScheduledItem::Execute { node, connection, run, text, mode } => {
                 self.execute(node, connection, run, &text, mode);
             }
-            Item::Replicate { database, term, position } => {
+            ScheduledItem::Replicate { database, term, position } => {
                 let database = self.databases.get_mut(&database).unwrap();
                 if !database.down && !database.frozen && database.term == term && !database.primary
                 {
@@ -331,21 +330,23 @@
                     }
                 }
             }
-            Item::Report { node, database, action } => self.report(node, &database, action),
-            Item::Heartbeat { from, to, heartbeat } => {
+            ScheduledItem::Report { node, database, action } => {
+                self.report(node, &database, action)
+            }
+            ScheduledItem::Heartbeat { from, to, heartbeat } => {
                 let peer = self.index(&to);
-                if self.dead[peer] || self.dead[from] {
+                if self.killed[peer] || self.killed[from] {
                     let event = NodeEvent::HeartbeatFailed { to: to.as_str().into() };
-                    return self.event_in(Micros::from_millis(500), from, event);
+                    return self.schedule_event(Micros::from_millis(500), from, event);
                 }
-                self.give(peer, NodeEvent::HeartbeatArrived(heartbeat));
+                self.handle_event(peer, NodeEvent::HeartbeatArrived(heartbeat));
                 if let Some(answer) = self.nodes[peer].heartbeat() {
-                    self.event_in(LINK, from, NodeEvent::HeartbeatAnswered(answer));
+                    self.schedule_event(NETWORK_DELAY, from, NodeEvent::HeartbeatAnswered(answer));
                 }
             }
-            Item::Pull { from, to, document } => {
+            ScheduledItem::Pull { from, to, document } => {
                 let peer = self.index(&to);
-                if self.dead[peer] {
+                if self.killed[peer] {
                     return;
                 }
                 let event = match document {
@@ -357,22 +358,22 @@
                     }
                 };
                 if let Some(event) = event {
-                    self.event_in(LINK, from, event);
+                    self.schedule_event(NETWORK_DELAY, from, event);
                 }
             }
-            Item::View { from, to, cluster } => {
+            ScheduledItem::View { from, to, cluster } => {
                 let peer = self.index(&to);
-                let view = match self.dead[peer] {
+                let view = match self.killed[peer] {
                     true => None,
                     false => self.nodes[peer].view(self.now, &cluster),
                 };
                 let event = NodeEvent::ViewAnswered { cluster, from: to.as_str().into(), view };
-                self.event_in(LINK, from, event);
+                self.schedule_event(NETWORK_DELAY, from, event);
             }
         }
     }
 
-    fn act(&mut self, node: usize, action: NodeAction) {
+    fn execute_action(&mut self, node: usize, action: NodeAction) {
         match action {
             NodeAction::AcceptSession { session, .. } => self.accepted.push((node, session)),
             NodeAction::RefuseSession { session, error } => {
@@ -385,37 +386,40 @@
                 let relayed = self.relayed.remove(&(node, session)).unwrap_or_default();
                 let frames = frames.to_vec();
                 let at = self.now;
-                let finish = Finish { at, error, notices, token, frames, transaction, relayed };
+                let finish = RequestEnd { at, error, notices, token, frames, transaction, relayed };
                 self.finishes.entry((node, session)).or_default().push(finish);
             }
             NodeAction::OpenBackend { connection, database, .. } => {
                 let found = self.databases.get(&*database).cloned().unwrap();
-                let link = Connection { database: database.to_string(), ..Connection::default() };
-                self.connections.insert((node, connection), link);
+                let backend =
+                    Connection { database: database.to_string(), ..Connection::default() };
+                self.connections.insert((node, connection), backend);
                 let event = match found.down {
                     true => NodeEvent::BackendLost { connection, message: "refused".into() },
                     false => NodeEvent::BackendOpened { connection },
                 };
                 if !found.frozen {
-                    self.event_in(Micros::from_millis(12), node, event);
+                    self.schedule_event(Micros::from_millis(12), node, event);
                 }
             }
             NodeAction::CloseBackend { connection } => {
                 self.connections.remove(&(node, connection));
             }
             NodeAction::Run { connection, run, frames, mode } => {
-                self.start_run(node, connection, run, &frames, mode);
+                self.start_exchange(node, connection, run, &frames, mode);
+            }
+            NodeAction::CancelRun { connection, run } => {
+                self.cancel_exchange(node, connection, run)
             }
-            NodeAction::CancelRun { connection, run } => self.cancel_run(node, connection, run),
             NodeAction::Relay { run } => {
-                let record = self.runs.get_mut(&(node, run)).unwrap();
-                assert!(!record.decided, "a second decision about a run");
+                let record = self.exchanges.get_mut(&(node, run)).unwrap();
+                assert!(!record.decided, "a second decision about an exchange");
                 record.decided = true;
                 let (target, text) = (record.session, record.text.clone());
                 self.relayed.entry(target.unwrap()).or_default().push(text);
             }
             NodeAction::Discard { run } => {
-                if let Some(record) = self.runs.get_mut(&(node, run)) {
+                if let Some(record) = self.exchanges.get_mut(&(node, run)) {
                     record.decided = true;
                 }
             }
@@ -424,29 +428,38 @@
             | NodeAction::AskPromote { ref database, .. }
             | NodeAction::AskFollow { ref database, .. } => {
                 let database = database.to_string();
-                self.later(LINK, Item::Report { node, database, action });
+                self.schedule(NETWORK_DELAY, ScheduledItem::Report { node, database, action });
             }
             NodeAction::SendHeartbeat { to, heartbeat } => {
                 let to = to.name.to_string();
-                self.later(LINK, Item::Heartbeat { from: node, to, heartbeat });
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledItem::Heartbeat { from: node, to, heartbeat },
+                );
             }
             NodeAction::PullTable { from } => {
                 let to = from.name.to_string();
-                self.later(LINK, Item::Pull { from: node, to, document: None });
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledItem::Pull { from: node, to, document: None },
+                );
             }
             NodeAction::PullDocument { from, document } => {
                 let to = from.name.to_string();
-                self.later(LINK, Item::Pull { from: node, to, document: Some(document) });
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledItem::Pull { from: node, to, document: Some(document) },
+                );
             }
             NodeAction::AskView { to, cluster } => {
                 let to = to.name.to_string();
-                self.later(LINK, Item::View { from: node, to, cluster });
+                self.schedule(NETWORK_DELAY, ScheduledItem::View { from: node, to, cluster });
             }
             NodeAction::Forward { call, session, to, lane, work } => {
                 let peer = self.index(&to.name);
-                if self.dead[peer] {
+                if self.killed[peer] {
                     let event = NodeEvent::ForwardFailed { call, sent: false };
-                    return self.event_in(LINK, node, event);
+                    return self.schedule_event(NETWORK_DELAY, node, event);
                 }
                 self.sequence += 1;
                 let incoming = CallId(1_000_000 + self.sequence);
@@ -455,12 +468,12 @@
                 let lane = lane.map(|lane| self.lanes[&(node, lane)].1);
                 let from = self.names[node].as_str().into();
                 let event = NodeEvent::ForwardArrived { call: incoming, from, lane, work };
-                self.event_in(LINK, peer, event);
+                self.schedule_event(NETWORK_DELAY, peer, event);
             }
             NodeAction::CancelForward { call } => {
                 if let Some((peer, incoming)) = self.outgoing.get(&(node, call)).copied() {
                     let event = NodeEvent::ForwardCancelled { call: incoming };
-                    self.event_in(LINK, peer, event);
+                    self.schedule_event(NETWORK_DELAY, peer, event);
                 }
             }
             NodeAction::AnswerForward { call, reply, lane } => {
@@ -468,12 +481,16 @@
                 self.outgoing.remove(&(entry, call));
                 let lane = lane.map(|lane| self.entry_lane(entry, node, lane));
                 let event = NodeEvent::ForwardAnswered { call, reply, lane };
-                self.event_in(LINK, entry, event);
+                self.schedule_event(NETWORK_DELAY, entry, event);
             }
             NodeAction::DropLane { lane } => {
                 if let Some((owner, owned)) = self.lanes.remove(&(node, lane)) {
                     self.entry_lanes.remove(&(owner, owned));
-                    self.event_in(LINK, owner, NodeEvent::LaneDropped { lane: owned });
+                    self.schedule_event(
+                        NETWORK_DELAY,
+                        owner,
+                        NodeEvent::LaneDropped { lane: owned },
+                    );
                 }
             }
             NodeAction::WatchPlatform(true) if !self.platform_down => {
@@ -483,7 +500,7 @@
                 {
                     let bytes = Some(bytes.into());
                     let answer = PlatformAnswer::Document { document: document.into(), bytes };
-                    self.event_in(LINK, node, NodeEvent::PlatformAnswered(answer));
+                    self.schedule_event(NETWORK_DELAY, node, NodeEvent::PlatformAnswered(answer));
                 }
             }
             NodeAction::WatchPlatform(_) => {}
@@ -497,7 +514,7 @@
                     },
                     (false, None) => PlatformAnswer::RecordRead { cluster, bytes: None, index: 0 },
                 };
-                self.event_in(LINK, node, NodeEvent::PlatformAnswered(answer));
+                self.schedule_event(NETWORK_DELAY, node, NodeEvent::PlatformAnswered(answer));
             }
             NodeAction::WriteRecord { cluster, expected_index, bytes } => {
                 let held = self.records.get(&cluster).map_or(0, |(_, index)| *index);
@@ -509,7 +526,7 @@
                     true => PlatformAnswer::RecordFailed { cluster },
                     false => PlatformAnswer::RecordWritten { cluster, applied },
                 };
-                self.event_in(LINK, node, NodeEvent::PlatformAnswered(answer));
+                self.schedule_event(NETWORK_DELAY, node, NodeEvent::PlatformAnswered(answer));
             }
             NodeAction::ShutdownComplete => self.shut_down.push(node),
             NodeAction::Log { message, .. } => {
@@ -530,7 +547,7 @@
         known
     }
 
-    fn start_run(
+    fn start_exchange(
         &mut self,
         node: usize,
         connection: ConnectionId,
@@ -552,32 +569,37 @@
                 self.incoming.get(&(node, call)).map(|(entry, _, session)| (*entry, *session))
             }
         });
-        let link = &self.connections[&(node, connection)];
-        let database = link.database.clone();
+        let backend = &self.connections[&(node, connection)];
+        let database = backend.database.clone();
         if target.is_some() {
-            self.reached.push((database.clone(), text.clone()));
+            self.received_statements.push((database.clone(), text.clone()));
         }
-        let record = Run { session, mode, text: text.clone(), finished: false, decided: false };
-        self.runs.insert((node, run), record);
-        let after = LINK + self.databases[&database].run_time;
-        self.later(after, Item::Execute { node, connection, run, text, mode });
+        let record =
+            BackendExchange { session, mode, text: text.clone(), finished: false, decided: false };
+        self.exchanges.insert((node, run), record);
+        let after = NETWORK_DELAY + self.databases[&database].service_time;
+        self.schedule(after, ScheduledItem::Execute { node, connection, run, text, mode });
     }
 
-    fn cancel_run(&mut self, node: usize, connection: ConnectionId, run: RunId) {
-        let Some(record) = self.runs.get_mut(&(node, run)) else { return };
-        let Some(link) = self.connections.get_mut(&(node, connection)) else { return };
-        let found = &self.databases[&link.database];
+    fn cancel_exchange(&mut self, node: usize, connection: ConnectionId, run: RunId) {
+        let Some(record) = self.exchanges.get_mut(&(node, run)) else { return };
+        let Some(backend) = self.connections.get_mut(&(node, connection)) else { return };
+        let found = &self.databases[&backend.database];
         if record.finished || found.frozen || found.down {
             return;
         }
         record.finished = true;
-        if link.state == TransactionState::Open {
-            link.state = TransactionState::Failed;
+        if backend.state == TransactionState::Open {
+            backend.state = TransactionState::Failed;
         }
         let error = ErrorReply { code: "57014".into(), message: "canceled".into() };
-        let transaction = link.state;
+        let transaction = backend.state;
         let summary = RunSummary { transaction, error: Some(error), ..RunSummary::default() };
-        self.event_in(LINK, node, NodeEvent::RunFinished { connection, run, summary });
+        self.schedule_event(
+            NETWORK_DELAY,
+            node,
+            NodeEvent::RunFinished { connection, run, summary },
+        );
     }
 
     fn execute(
@@ -588,79 +610,87 @@
         text: &str,
         mode: RelayMode,
     ) {
-        let Some(mut link) = self.connections.remove(&(node, connection)) else { return };
-        let record = self.runs.get_mut(&(node, run)).unwrap();
-        let found = self.databases[&link.database].clone();
+        let Some(mut backend) = self.connections.remove(&(node, connection)) else { return };
+        let record = self.exchanges.get_mut(&(node, run)).unwrap();
+        let found = self.databases[&backend.database].clone();
         if record.finished || found.frozen {
-            self.connections.insert((node, connection), link);
+            self.connections.insert((node, connection), backend);
             return;
         }
         record.finished = true;
         if found.large_answers && matches!(mode, RelayMode::Hold(_)) {
-            self.event_in(LINK, node, NodeEvent::HeldRowsRelayed { connection, run });
+            self.schedule_event(
+                NETWORK_DELAY,
+                node,
+                NodeEvent::HeldRowsRelayed { connection, run },
+            );
         }
         let lost = found.lose_next.filter(|(part, _)| text.contains(part));
         if found.down || lost.is_some_and(|(_, after)| !after) {
-            self.databases.get_mut(&link.database).unwrap().lose_next = None;
+            self.databases.get_mut(&backend.database).unwrap().lose_next = None;
             let event = NodeEvent::BackendLost { connection, message: "connection reset".into() };
-            return self.event_in(LINK, node, event);
+            return self.schedule_event(NETWORK_DELAY, node, event);
         }
         let mut summary = RunSummary::default();
         for statement in text.split(';').map(str::trim).filter(|part| !part.is_empty()) {
-            if let Err(code) = self.statement(&mut link, statement, &mut summary) {
-                if link.state == TransactionState::Open {
-                    link.state = TransactionState::Failed;
+            if let Err(code) = self.statement(&mut backend, statement, &mut summary) {
+                if backend.state == TransactionState::Open {
+                    backend.state = TransactionState::Failed;
                 }
                 summary.error = Some(ErrorReply { code: code.into(), message: String::new() });
                 break;
             }
         }
-        summary.transaction = link.state;
+        summary.transaction = backend.state;
         if lost.is_some() {
-            self.databases.get_mut(&link.database).unwrap().lose_next = None;
+            self.databases.get_mut(&backend.database).unwrap().lose_next = None;
             let event = NodeEvent::BackendLost { connection, message: "connection reset".into() };
-            return self.event_in(LINK, node, event);
+            return self.schedule_event(NETWORK_DELAY, node, event);
         }
         if matches!(mode, RelayMode::Decide(_)) && summary.error.is_none() {
-            self.event_in(LINK, node, NodeEvent::RunStarted { connection, run });
+            self.schedule_event(NETWORK_DELAY, node, NodeEvent::RunStarted { connection, run });
         }
         if let RelayMode::Stream(_) = mode
-            && let Some(target) = self.runs[&(node, run)].session
+            && let Some(target) = self.exchanges[&(node, run)].session
         {
             self.relayed.entry(target).or_default().push(text.to_string());
         }
-        self.connections.insert((node, connection), link);
-        self.event_in(LINK, node, NodeEvent::RunFinished { connection, run, summary });
+        self.connections.insert((node, connection), backend);
+        self.schedule_event(
+            NETWORK_DELAY,
+            node,
+            NodeEvent::RunFinished { connection, run, summary },
+        );
     }
 
     fn statement(
         &mut self,
-        link: &mut Connection,
+        backend: &mut Connection,
         text: &str,
         summary: &mut RunSummary,
     ) -> Result<(), &'static str> {
-        let primary = self.databases[&link.database].primary;
+        let primary = self.databases[&backend.database].primary;
         let text = match text.split_once("*/") {
             Some((_, rest)) => rest.trim(),
             None => text,
         };
         let word = text.split_whitespace().next().unwrap().to_uppercase();
-        if link.state == TransactionState::Failed && word != "COMMIT" && word != "ROLLBACK" {
+        if backend.state == TransactionState::Failed && word != "COMMIT" && word != "ROLLBACK" {
             return Err("25P02");
         }
         let quoted: Vec<String> = text.split('\'').skip(1).step_by(2).map(str::to_string).collect();
         let mut tag = word.clone();
         match word.as_str() {
-            "BEGIN" => link.state = TransactionState::Open,
+            "BEGIN" => backend.state = TransactionState::Open,
             "COMMIT" | "ROLLBACK" => {
-                let commits = word == "COMMIT" && link.state == TransactionState::Open;
+                let commits = word == "COMMIT" && backend.state == TransactionState::Open;
                 if !commits {
                     tag = "ROLLBACK".to_string();
-                    link.writes.clear();
-                    link.keys.clear();
+                    backend.writes.clear();
+                    backend.keys.clear();
                 }
-                link.state = TransactionState::Idle;
-                self.commit(link);
+                backend.state = TransactionState::Idle;
+                self.commit(backend);
             }
             "INSERT" | "UPDATE" | "DELETE" | "CREATE" if !primary => return Err("25006"),
             "INSERT" if text.contains("fail") => return Err("23514"),
@@ -669,10 +699,10 @@
                     return Err("23505");
                 }
                 let [key, caller, hash] = quoted.try_into().unwrap();
-                link.keys.push((key, caller, hash, None));
+                backend.keys.push((key, caller, hash, None));
             }
             "UPDATE" if text.contains("cicadawick_requests") => {
-                link.keys.last_mut().unwrap().3 = Some(quoted[0].clone());
+                backend.keys.last_mut().unwrap().3 = Some(quoted[0].clone());
             }
             "SELECT" if text.contains("cicadawick_requests") => {
                 let row = self.keys.get(&(quoted[0].clone(), quoted[1].clone())).cloned();
@@ -681,10 +711,10 @@
                 }
             }
             "INSERT" | "UPDATE" | "DELETE" => {
-                link.writes.push(text.to_string());
+                backend.writes.push(text.to_string());
                 tag = format!("{word} 0 1");
-                if link.state == TransactionState::Idle {
-                    self.commit(link);
+                if backend.state == TransactionState::Idle {
+                    self.commit(backend);
                 }
             }
             _ => {}
@@ -693,24 +723,24 @@
         Ok(())
     }
 
-    fn commit(&mut self, link: &mut Connection) {
-        for (key, caller, hash, outcome) in link.keys.drain(..) {
+    fn commit(&mut self, backend: &mut Connection) {
+        for (key, caller, hash, outcome) in backend.keys.drain(..) {
             self.keys.insert((key, caller), (hash, outcome));
         }
-        if link.writes.is_empty() {
+        if backend.writes.is_empty() {
             return;
         }
-        for text in link.writes.drain(..) {
-            self.committed.push((link.database.clone(), text));
+        for text in backend.writes.drain(..) {
+            self.committed.push((backend.database.clone(), text));
         }
-        let primary = self.databases.get_mut(&link.database).unwrap();
+        let primary = self.databases.get_mut(&backend.database).unwrap();
         primary.received += 10;
         primary.applied = primary.received;
         let (term, position) = (primary.term, primary.received);
         let others: Vec<String> =
-            self.databases.keys().filter(|name| **name != link.database).cloned().collect();
+            self.databases.keys().filter(|name| **name != backend.database).cloned().collect();
         for database in others {
-            self.later(LINK, Item::Replicate { database, term, position });
+            self.schedule(NETWORK_DELAY, ScheduledItem::Replicate { database, term, position });
         }
     }
 
@@ -727,7 +757,7 @@
             _ => return,
         };
         if database.down {
-            return self.event_in(LINK, node, NodeEvent::ReportFailed { id });
+            return self.schedule_event(NETWORK_DELAY, node, NodeEvent::ReportFailed { id });
         }
         let mut accepted = false;
         match &action {
@@ -764,10 +794,10 @@
             }
             _ => NodeEvent::ReportArrived { id, report },
         };
-        self.event_in(LINK, node, event);
+        self.schedule_event(NETWORK_DELAY, node, event);
     }
 
-    /// Takes over the leader's log, and with it the loss of entries that the leader does not have.
+    /// Copies the leader's log, which drops entries that the leader does not have.
     fn follow(&mut self, name: &str, term: u64, leader: &str) {
         let source = self.databases[leader].clone();
         let database = self.databases.get_mut(name).unwrap();
@@ -798,17 +828,17 @@
                 .collect(),
             address: "10.9.9.9".into(),
         };
-        self.give(node, NodeEvent::SessionOpened { session, start });
+        self.handle_event(node, NodeEvent::SessionOpened { session, start });
         session
     }
 
     /// Sends a simple query.
     pub fn send(&mut self, node: usize, session: SessionId, text: &str) {
-        self.give(node, NodeEvent::RequestArrived { session, request: simple(text) });
+        self.handle_event(node, NodeEvent::RequestArrived { session, request: simple(text) });
     }
 
     /// Sends a simple query and waits for its end.
-    pub fn query(&mut self, node: usize, session: SessionId, text: &str) -> Finish {
+    pub fn query(&mut self, node: usize, session: SessionId, text: &str) -> RequestEnd {
         let before = self.finishes.get(&(node, session)).map_or(0, Vec::len);
         self.send(node, session, text);
         for _ in 0..60_000 {
@@ -817,7 +847,7 @@
             {
                 return finish.clone();
             }
-            self.advance(LINK);
+            self.advance(NETWORK_DELAY);
         }
         panic!("no end of {text:?}; {}", self.dump(node));
     }
@@ -832,20 +862,20 @@
         let mut lost: Vec<_> = self
             .connections
             .iter()
-            .filter(|(_, link)| link.database == name)
+            .filter(|(_, backend)| backend.database == name)
             .map(|(key, _)| *key)
             .collect();
         lost.sort();
         for (node, connection) in lost {
             self.connections.remove(&(node, connection));
             let event = NodeEvent::BackendLost { connection, message: "reset".into() };
-            self.event_in(LINK, node, event);
+            self.schedule_event(NETWORK_DELAY, node, event);
         }
     }
 
-    /// Stops a node without notice.
+    /// Stops a node without a graceful shutdown.
     pub fn kill(&mut self, node: usize) {
-        self.dead[node] = true;
+        self.killed[node] = true;
         self.connections.retain(|(owner, _), _| *owner != node);
         let calls: Vec<_> = self
             .outgoing
@@ -854,7 +884,11 @@
             .map(|((entry, call), _)| (*entry, *call))
             .collect();
         for (entry, call) in calls {
-            self.event_in(LINK, entry, NodeEvent::ForwardFailed { call, sent: true });
+            self.schedule_event(
+                NETWORK_DELAY,
+                entry,
+                NodeEvent::ForwardFailed { call, sent: true },
+            );
         }
         let lanes: Vec<_> = self
             .lanes
@@ -863,13 +897,13 @@
             .map(|(_, owned)| *owned)
             .collect();
         for (owner, lane) in lanes {
-            self.event_in(LINK, owner, NodeEvent::LaneDropped { lane });
+            self.schedule_event(NETWORK_DELAY, owner, NodeEvent::LaneDropped { lane });
         }
     }
 
-    /// The node that owns a database, as seen by the first live node.
+    /// Returns the node that owns a database according to the first running node.
     pub fn owner_of(&self, database: &str) -> usize {
-        let node = (0..self.nodes.len()).find(|at| !self.dead[*at]).unwrap();
+        let node = (0..self.nodes.len()).find(|at| !self.killed[*at]).unwrap();
         let call = OperatorCall::Explain {
             attributes: Default::default(),
             labels: Default::default(),
@@ -879,18 +913,19 @@
         self.index(answer["databases"][database]["owner"].as_str().unwrap())
     }
 
-    /// A node that does not own the database.
-    pub fn other_than_owner(&self, database: &str) -> usize {
+    /// Returns a node that does not own the database.
+    pub fn non_owner_of(&self, database: &str) -> usize {
         let owner = self.owner_of(database);
-        (0..self.nodes.len()).find(|at| *at != owner && !self.dead[*at]).unwrap()
+        (0..self.nodes.len()).find(|at| *at != owner && !self.killed[*at]).unwrap()
     }
 
-    pub fn reached_with(&self, part: &str) -> Vec<String> {
-        let reached = self.reached.iter().filter(|(_, text)| text.contains(part));
-        reached.map(|(database, _)| database.clone()).collect()
+    /// Returns the database of each received client statement that contains `part`.
+    pub fn databases_reached_by(&self, part: &str) -> Vec<String> {
+        let received = self.received_statements.iter().filter(|(_, text)| text.contains(part));
+        received.map(|(database, _)| database.clone()).collect()
     }
 
-    pub fn committed_with(&self, part: &str) -> usize {
+    pub fn count_commits(&self, part: &str) -> usize {
         self.committed.iter().filter(|(_, text)| text.contains(part)).count()
     }
 }
--- a/crates/node/tests/random.rs
+++ b/crates/node/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random orders of events: nothing may leak and each request ends exactly once.
+//! Random sequences of events: no resource may leak and each request must end exactly once.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Act {
+enum TestStep {
     Open { node: usize, labels: usize },
     Send { session: usize, text: usize },
     Close { session: usize },
@@ -24,7 +24,7 @@
     Kill { node: usize },
 }
 
-/// Texts to send; `N` becomes the number of the request.
+/// Statement texts; `N` is replaced by the number of the request.
 const TEXTS: [&str; 9] = [
     "select N",
     "insert into t values (N.)",
@@ -37,37 +37,37 @@
     "copy t from stdin",
 ];
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
-    let act = prop_oneof![
-        3 => (0..3usize, 0..3usize).prop_map(|(node, labels)| Act::Open { node, labels }),
-        12 => (0..8usize, 0..TEXTS.len()).prop_map(|(session, text)| Act::Send { session, text }),
-        2 => (0..8usize).prop_map(|session| Act::Close { session }),
-        2 => (0..8usize).prop_map(|session| Act::Cancel { session }),
-        8 => (0..60u64).prop_map(|millis| Act::Advance { millis }),
-        2 => (0..8u64).prop_map(|secs| Act::Advance { millis: secs * 700 }),
-        2 => (0..3usize, 0..6usize).prop_map(|(database, fault)| Act::Fail { database, fault }),
-        2 => (0..3usize).prop_map(|database| Act::Heal { database }),
-        1 => (0..12usize).prop_map(|node| Act::Drain { node }),
-        1 => (0..12usize).prop_map(|node| Act::Kill { node }),
+fn steps() -> impl Strategy<Value = Vec<TestStep>> {
+    let step = prop_oneof![
+        3 => (0..3usize, 0..3usize).prop_map(|(node, labels)| TestStep::Open { node, labels }),
+        12 => (0..8usize, 0..TEXTS.len()).prop_map(|(session, text)| TestStep::Send { session, text }),
+        2 => (0..8usize).prop_map(|session| TestStep::Close { session }),
+        2 => (0..8usize).prop_map(|session| TestStep::Cancel { session }),
+        8 => (0..60u64).prop_map(|millis| TestStep::Advance { millis }),
+        2 => (0..8u64).prop_map(|secs| TestStep::Advance { millis: secs * 700 }),
+        2 => (0..3usize, 0..6usize).prop_map(|(database, fault)| TestStep::Fail { database, fault }),
+        2 => (0..3usize).prop_map(|database| TestStep::Heal { database }),
+        1 => (0..12usize).prop_map(|node| TestStep::Drain { node }),
+        1 => (0..12usize).prop_map(|node| TestStep::Kill { node }),
     ];
-    prop::collection::vec(act, 1..60)
+    prop::collection::vec(step, 1..60)
 }
 
-struct Trial {
+struct RandomRun {
     driver: Driver,
     sessions: Vec<(usize, SessionId)>,
     closed: HashSet<(usize, SessionId)>,
     sent: HashMap<(usize, SessionId), usize>,
-    /// Session, place among its requests, and text of each request.
+    /// Session, index within the session, and text of each request.
     texts: Vec<((usize, SessionId), usize, String)>,
 }
 
-impl Trial {
+impl RandomRun {
     fn usable(&self, at: usize) -> Option<(usize, SessionId)> {
         let live: Vec<_> = self
             .sessions
             .iter()
-            .filter(|key| !self.closed.contains(key) && !self.driver.dead[key.0])
+            .filter(|key| !self.closed.contains(key) && !self.driver.killed[key.0])
             .filter(|(node, id)| {
                 !self.driver.closed.iter().any(|(other, gone, _)| other == node && gone == id)
             })
@@ -79,19 +79,19 @@
         self.driver.finishes.get(&key).map_or(0, Vec::len)
     }
 
-    fn play(&mut self, act: &Act) {
-        match *act {
-            Act::Open { node, .. } if self.driver.dead[node] => {}
-            Act::Open { node, labels } => {
+    fn apply_step(&mut self, step: &TestStep) {
+        match *step {
+            TestStep::Open { node, .. } if self.driver.killed[node] => {}
+            TestStep::Open { node, labels } => {
                 let labels = ["kind=aged", "kind=short", "kind=none"][labels];
                 let session = self.driver.open(node, "phone", &[("cicadawick.labels", labels)]);
                 if self.driver.accepted.contains(&(node, session)) {
                     self.sessions.push((node, session));
                 }
             }
-            Act::Send { session, text } => {
+            TestStep::Send { session, text } => {
                 let Some(key) = self.usable(session) else { return };
-                // The shell sends one request at a time.
+                // The I/O driver sends one request at a time.
                 if self.sent.get(&key).copied().unwrap_or(0) == self.ended(key) {
                     let place = self.sent.entry(key).or_default();
                     let text = TEXTS[text].replace('N', &self.texts.len().to_string());
@@ -100,17 +100,17 @@
                     *place += 1;
                 }
             }
-            Act::Close { session } => {
+            TestStep::Close { session } => {
                 let Some(key) = self.usable(session) else { return };
                 self.closed.insert(key);
-                self.driver.give(key.0, NodeEvent::SessionClosed { session: key.1 });
+                self.driver.handle_event(key.0, NodeEvent::SessionClosed { session: key.1 });
             }
-            Act::Cancel { session } => {
+            TestStep::Cancel { session } => {
                 let Some(key) = self.usable(session) else { return };
-                self.driver.give(key.0, NodeEvent::CancelArrived { session: key.1 });
+                self.driver.handle_event(key.0, NodeEvent::CancelArrived { session: key.1 });
             }
-            Act::Advance { millis } => self.driver.advance(Micros::from_millis(millis)),
-            Act::Fail { database, fault } => {
+            TestStep::Advance { millis } => self.driver.advance(Micros::from_millis(millis)),
+            TestStep::Fail { database, fault } => {
                 let name = format!("db{}", database + 1);
                 let found = self.driver.databases.get_mut(&name).unwrap();
                 match fault {
@@ -119,25 +119,25 @@
                     2 => found.lags = true,
                     3 => found.lose_next = Some(("insert", true)),
                     4 => found.lose_next = Some(("", false)),
-                    _ => found.run_time = Micros::from_millis(700),
+                    _ => found.service_time = Micros::from_millis(700),
                 }
             }
-            Act::Heal { database } => self.heal(database),
-            Act::Drain { node } if node < 3 && self.driver.shut_down.is_empty() => {
-                self.driver.give(node, NodeEvent::DrainRequested);
+            TestStep::Heal { database } => self.heal(database),
+            TestStep::Drain { node } if node < 3 && self.driver.shut_down.is_empty() => {
+                self.driver.handle_event(node, NodeEvent::DrainRequested);
             }
-            Act::Kill { node } if node < 3 && !self.driver.dead.contains(&true) => {
+            TestStep::Kill { node } if node < 3 && !self.driver.killed.contains(&true) => {
                 self.driver.kill(node);
             }
-            Act::Drain { .. } | Act::Kill { .. } => {}
+            TestStep::Drain { .. } | TestStep::Kill { .. } => {}
         }
     }
 
-    /// Checks what callers were told against what the backend servers committed.
+    /// Checks the results that clients received against the writes that databases committed.
     fn check_outcomes(&self) -> Result<(), TestCaseError> {
         for (key, place, text) in &self.texts {
             let Some((_, value)) = text.split_once("values") else { continue };
-            let commits = self.driver.committed_with(value);
+            let commits = self.driver.count_commits(value);
             prop_assert!(commits <= 1, "{text} ran {commits} times");
             let finish = self.driver.finishes.get(key).and_then(|finishes| finishes.get(*place));
             let Some(finish) = finish else { continue };
@@ -158,7 +158,7 @@
         found.down = false;
         found.lags = false;
         found.lose_next = None;
-        found.run_time = Micros::from_millis(2);
+        found.service_time = Micros::from_millis(2);
     }
 }
 
@@ -167,42 +167,42 @@
 }
 
 proptest! {
-    // A case takes about 0.1 s; more with PROPTEST_CASES.
+    // A case takes about 0.1 s. PROPTEST_CASES sets the number of cases.
     #![proptest_config(ProptestConfig::with_cases(cases()))]
 
     #[test]
-    fn nothing_leaks_and_each_request_ends_once(acts in acts()) {
-        let mut trial = Trial {
+    fn nothing_leaks_and_each_request_ends_once(steps in steps()) {
+        let mut random_run = RandomRun {
             driver: Driver::start(3),
             sessions: Vec::new(),
             closed: HashSet::new(),
             sent: HashMap::new(),
             texts: Vec::new(),
         };
-        for act in &acts {
-            trial.play(act);
+        for step in &steps {
+            random_run.apply_step(step);
         }
         for database in 0..3 {
-            trial.heal(database);
+            random_run.heal(database);
         }
-        trial.driver.advance(Micros::from_secs(30));
-        trial.check_outcomes()?;
-        for (key, sent) in &trial.sent {
-            if trial.driver.dead[key.0] {
+        random_run.driver.advance(Micros::from_secs(30));
+        random_run.check_outcomes()?;
+        for (key, sent) in &random_run.sent {
+            if random_run.driver.killed[key.0] {
                 continue;
             }
-            let ended = trial.ended(*key);
-            let gone = trial.closed.contains(key)
-                || trial.driver.closed.iter().any(|closed| (closed.0, closed.1) == *key);
+            let ended = random_run.ended(*key);
+            let gone = random_run.closed.contains(key)
+                || random_run.driver.closed.iter().any(|closed| (closed.0, closed.1) == *key);
             prop_assert!(ended == *sent || (gone && ended + 1 == *sent),
                 "{ended} ends of {sent} requests of {key:?}");
         }
-        for key in trial.sessions.clone() {
-            trial.driver.give(key.0, NodeEvent::SessionClosed { session: key.1 });
+        for key in random_run.sessions.clone() {
+            random_run.driver.handle_event(key.0, NodeEvent::SessionClosed { session: key.1 });
         }
-        trial.driver.advance(Micros::from_secs(10));
-        for node in (0..3).filter(|node| !trial.driver.dead[*node]) {
-            let dump = trial.driver.dump(node);
+        random_run.driver.advance(Micros::from_secs(10));
+        for node in (0..3).filter(|node| !random_run.driver.killed[*node]) {
+            let dump = random_run.driver.dump(node);
             prop_assert_eq!(&dump["forwarded"], 0);
             prop_assert_eq!(&dump["sessions"]["open"], 0);
             for database in dump["databases"].as_object().unwrap().values() {
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from entry to answer, over two or three nodes with scripted backend servers.
+//! Requests from arrival to answer, over one to three nodes with fake databases.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,31 +12,32 @@
     Micros::from_millis(count)
 }
 
-/// Gives a revision of the configuration to every node.
-fn give_configuration(driver: &mut Driver, revision: u64, text: &str) {
+/// Delivers a revision of the configuration to every node.
+fn deliver_configuration(driver: &mut Driver, revision: u64, text: &str) {
     for node in 0..driver.nodes.len() {
         let event = NodeEvent::DocumentArrived {
             document: "config".into(),
             revision,
             bytes: envelope(revision, text).into(),
         };
-        driver.give(node, event);
+        driver.handle_event(node, event);
     }
 }
 
-/// Guards against an acknowledgement without evidence that the primary still leads.
+/// Guards against an acknowledged write without a proof that the primary still leads.
 #[test]
 fn a_write_is_held_until_acknowledged() {
     let mut driver = Driver::start(3);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "kiosk", &[]);
     assert_eq!(driver.accepted, [(node, session)]);
     let finish = driver.query(node, session, "insert into t values (1)");
     assert_eq!(finish.code(), "");
     assert_eq!(finish.relayed, ["insert into t values (1)"]);
     assert!(finish.token.is_some());
-    assert_eq!(driver.committed_with("values (1)"), 1);
-    // With both replicas away no round is confirmed: the outcome is unknown and nothing is relayed.
+    assert_eq!(driver.count_commits("values (1)"), 1);
+    // With both replicas frozen no report round is confirmed: the outcome is unknown and nothing is
+    // relayed.
     driver.databases.get_mut("db2").unwrap().frozen = true;
     driver.databases.get_mut("db3").unwrap().frozen = true;
     let start = driver.now;
@@ -46,7 +47,7 @@
     assert!(finish.at.saturating_sub(start) >= Micros::from_secs(3));
 }
 
-/// Guards against data that is older than accepted when its first byte leaves.
+/// Guards against relaying data that is older than accepted when its first byte arrives.
 #[test]
 fn a_read_too_old_at_first_byte_goes_to_the_primary() {
     let mut driver = Driver::start(2);
@@ -55,24 +56,24 @@
     let session = driver.open(node, "phone", &labels);
     let finish = driver.query(node, session, "select 1");
     assert_eq!((finish.code(), finish.relayed.len()), ("", 1));
-    let served = driver.reached_with("select 1");
+    let served = driver.databases_reached_by("select 1");
     assert_ne!(served, ["db1"], "a replica without lag serves reads that accept an age");
     let replica = served[0].clone();
-    driver.databases.get_mut(&replica).unwrap().run_time = millis(2_100);
+    driver.databases.get_mut(&replica).unwrap().service_time = millis(2_100);
     for other in ["db2", "db3"] {
         if other != replica {
             driver.databases.get_mut(other).unwrap().lags = true;
-            driver.databases.get_mut(other).unwrap().run_time = millis(2_100);
+            driver.databases.get_mut(other).unwrap().service_time = millis(2_100);
         }
     }
     let finish = driver.query(node, session, "select 2");
     assert_eq!(finish.relayed, ["select 2"], "{finish:?}");
-    let served = driver.reached_with("select 2");
+    let served = driver.databases_reached_by("select 2");
     assert_eq!(served.last().map(String::as_str), Some("db1"));
     assert_eq!(served.len(), 2, "one discarded answer, one from the primary");
 }
 
-/// Guards against "not run" for something that reached a backend server.
+/// Guards against the error "not run" for a write that reached a backend server.
 #[test]
 fn a_declined_write_never_reaches_a_backend() {
     let mut driver = Driver::start(2);
@@ -83,61 +84,61 @@
     let session = driver.open(0, "phone", &[("cicadawick.labels", "kind=short")]);
     let finish = driver.query(0, session, "insert into t values (1)");
     assert_eq!(finish.code(), "WK003");
-    assert!(driver.reached_with("insert").is_empty());
+    assert!(driver.databases_reached_by("insert").is_empty());
 }
 
-/// Guards against a second run of a write whose first run may have had effect.
+/// Guards against repeating a write that may have committed before its connection was lost.
 #[test]
 fn a_lost_connection_is_an_unknown_outcome_of_a_write_and_a_retry_of_a_read() {
     let mut driver = Driver::start(3);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "phone", &[]);
     driver.databases.get_mut("db1").unwrap().lose_next = Some(("values (1)", true));
     let finish = driver.query(node, session, "insert into t values (1)");
     assert_eq!(finish.code(), "08007");
-    assert_eq!(driver.committed_with("values (1)"), 1);
+    assert_eq!(driver.count_commits("values (1)"), 1);
     driver.databases.get_mut("db1").unwrap().lose_next = Some(("select", true));
     let finish = driver.query(node, session, "select 1");
     assert_eq!((finish.code(), finish.relayed.len()), ("", 1));
-    assert_eq!(driver.reached_with("select").len(), 2);
+    assert_eq!(driver.databases_reached_by("select").len(), 2);
 }
 
-/// Guards against an error for work that was not sent when its owner died.
+/// Guards against an error for a request that was not sent to the backend when its owner was lost.
 #[test]
-fn work_of_a_dead_owner_is_routed_again() {
+fn unsent_requests_of_a_lost_owner_are_rerouted() {
     let mut driver = Driver::start(3);
     let owner = driver.owner_of("db1");
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     driver.kill(owner);
     let session = driver.open(node, "kiosk", &[]);
     let finish = driver.query(node, session, "insert into t values (1)");
     assert_eq!(finish.code(), "", "{finish:?}");
-    assert_eq!(driver.committed_with("values (1)"), 1);
+    assert_eq!(driver.count_commits("values (1)"), 1);
 }
 
-/// Guards against a second run of a write whose owner died after it may have sent it.
+/// Guards against repeating a write whose owner was lost after it may have sent the write.
 #[test]
-fn a_write_at_an_owner_that_dies_has_an_unknown_outcome() {
+fn a_write_at_a_lost_owner_has_an_unknown_outcome() {
     let mut driver = Driver::start(3);
     let owner = driver.owner_of("db1");
-    let node = driver.other_than_owner("db1");
-    driver.databases.get_mut("db1").unwrap().run_time = millis(100);
+    let node = driver.non_owner_of("db1");
+    driver.databases.get_mut("db1").unwrap().service_time = millis(100);
     let session = driver.open(node, "kiosk", &[]);
     driver.send(node, session, "insert into t values (1)");
     driver.advance(millis(40));
-    assert_eq!(driver.reached_with("insert"), ["db1"]);
+    assert_eq!(driver.databases_reached_by("insert"), ["db1"]);
     driver.kill(owner);
     driver.advance(Micros::from_secs(10));
     let finishes = &driver.finishes[&(node, session)];
     assert_eq!((finishes.len(), finishes[0].code()), (1, "08007"));
-    assert_eq!(driver.reached_with("insert"), ["db1"]);
+    assert_eq!(driver.databases_reached_by("insert"), ["db1"]);
 }
 
 /// Guards against a COMMIT at a primary that was replaced while the transaction was open.
 #[test]
 fn a_transaction_of_a_replaced_primary_is_rolled_back() {
     let mut driver = Driver::start(3);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "kiosk", &[]);
     driver.query(node, session, "begin");
     driver.query(node, session, "insert into t values (1)");
@@ -146,14 +147,14 @@
     driver.databases.get_mut("db1").unwrap().frozen = false;
     let finish = driver.query(node, session, "commit");
     assert_eq!(finish.code(), "WK004", "{}", driver.logs.join("\n"));
-    assert_eq!(driver.committed_with("values"), 0);
+    assert_eq!(driver.count_commits("values"), 0);
 }
 
 /// Guards against statements of two transactions on one connection, at the owner and over a lane.
 #[test]
 fn a_transaction_keeps_one_connection() {
     let mut driver = Driver::start(2);
-    for node in [driver.owner_of("db1"), driver.other_than_owner("db1")] {
+    for node in [driver.owner_of("db1"), driver.non_owner_of("db1")] {
         let first = driver.open(node, "kiosk", &[]);
         let second = driver.open(node, "kiosk", &[]);
         for session in [first, second] {
@@ -162,22 +163,22 @@
             let text = format!("insert into t values ({})", session.0);
             driver.query(node, session, &text);
         }
-        assert_eq!(driver.committed_with("values"), 0);
+        assert_eq!(driver.count_commits("values"), 0);
         let finish = driver.query(node, first, "commit");
         assert_eq!((finish.code(), finish.transaction), ("", TransactionState::Idle));
         assert!(finish.token.is_some());
-        assert_eq!(driver.committed_with("values"), 1);
+        assert_eq!(driver.count_commits("values"), 1);
         driver.query(node, second, "rollback");
-        assert_eq!(driver.committed_with("values"), 1);
+        assert_eq!(driver.count_commits("values"), 1);
         driver.committed.clear();
     }
 }
 
-/// Guards against a COMMIT that is passed on after the transaction's connection is gone.
+/// Guards against sending a COMMIT after the transaction's connection was lost.
 #[test]
 fn a_transaction_that_lost_its_connection_is_rolled_back() {
     let mut driver = Driver::start(2);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "kiosk", &[]);
     driver.query(node, session, "begin");
     driver.databases.get_mut("db1").unwrap().lose_next = Some(("values (1)", true));
@@ -190,11 +191,12 @@
     assert_eq!(finish.code(), "08007");
 }
 
-/// Guards against a payment that runs twice, or a repeat that hides a different statement.
+/// Guards against a keyed write that runs twice, and against one that is answered with the outcome of
+/// another statement with the same key.
 #[test]
 fn a_repeated_key_gives_the_first_outcome() {
     let mut driver = Driver::start(2);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "kiosk", &[]);
     let text = "/*request_key='k1'*/ insert into t values (1)";
     let first = driver.query(node, session, text);
@@ -203,20 +205,21 @@
     assert_eq!(again.code(), "");
     assert!(again.relayed.is_empty());
     assert_eq!(again.frames, b"C\0\0\0\x0fINSERT 0 1\0");
-    assert_eq!(driver.committed_with("values (1)"), 1);
+    assert_eq!(driver.count_commits("values (1)"), 1);
     let other = "/*request_key='k1'*/ insert into t values (2)";
     assert_eq!(driver.query(node, session, other).code(), "22023");
-    assert_eq!(driver.committed_with("values (2)"), 0);
+    assert_eq!(driver.count_commits("values (2)"), 0);
     let failed = driver.query(node, session, "/*request_key='k2'*/ insert into fail values (1)");
-    assert_eq!(failed.relayed.len(), 1, "the statement's own error goes out");
+    assert_eq!(failed.relayed.len(), 1, "the statement's own error is relayed");
     assert!(!driver.keys.keys().any(|(key, _)| key == "k2"));
 }
 
-/// Guards against a key that outlives the rollback of its transaction, or is lost with its commit.
+/// Guards against a key that remains after the rollback of its transaction, or is missing after its
+/// commit.
 #[test]
 fn a_key_inside_a_transaction_belongs_to_it() {
     let mut driver = Driver::start(2);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "kiosk", &[]);
     let text = "/*request_key='k1'*/ insert into t values (1)";
     for end in ["rollback", "commit"] {
@@ -229,61 +232,61 @@
     }
     let finish = driver.query(node, session, text);
     assert_eq!(finish.frames, b"C\0\0\0\x0fINSERT 0 1\0");
-    assert_eq!(driver.committed_with("values (1)"), 1);
+    assert_eq!(driver.count_commits("values (1)"), 1);
     driver.query(node, session, "begin");
     let finish = driver.query(node, session, text);
     assert_eq!((finish.code(), finish.transaction), ("23505", TransactionState::Failed));
     driver.query(node, session, "rollback");
 }
 
-/// Guards against "not run" for a read that was sent and never answered.
+/// Guards against the error "not run" for a read that was sent and never answered.
 #[test]
 fn a_read_at_a_frozen_primary_is_not_reported_as_not_run() {
     let mut driver = Driver::start(2);
-    let node = driver.other_than_owner("db1");
+    let node = driver.non_owner_of("db1");
     let session = driver.open(node, "phone", &[("cicadawick.labels", "kind=short")]);
     assert_eq!(driver.query(node, session, "select 1").code(), "");
     driver.databases.get_mut("db1").unwrap().frozen = true;
     assert_eq!(driver.query(node, session, "select 2").code(), "08006");
 }
 
-/// Guards against a lost or doubled keyed write when the connection breaks at any step.
+/// Guards against a lost or duplicated keyed write when the connection is lost at any step.
 #[test]
 fn a_keyed_write_is_retried_over_lost_connections() {
     for part in ["INSERT INTO cicadawick_requests", "insert into t", "UPDATE cicadawick_requests"] {
         for after in [false, true] {
             let mut driver = Driver::start(2);
-            let node = driver.other_than_owner("db1");
+            let node = driver.non_owner_of("db1");
             let session = driver.open(node, "kiosk", &[]);
             driver.databases.get_mut("db1").unwrap().lose_next = Some((part, after));
             let text = "/*request_key='k1'*/ insert into t values (1)";
             let finish = driver.query(node, session, text);
             assert_eq!(finish.code(), "", "{part} {after}");
-            assert_eq!(driver.committed_with("values (1)"), 1, "{part} {after}");
+            assert_eq!(driver.count_commits("values (1)"), 1, "{part} {after}");
         }
     }
 }
 
-/// Guards against rows that a caller gets twice: a keyed write whose rows already went out must not run
-/// again on another connection, wherever it breaks off.
+/// Guards against duplicate rows: a keyed write whose rows were relayed must not be retried on another
+/// connection, at whichever step its connection is lost.
 #[test]
-fn a_keyed_write_whose_rows_went_out_is_not_retried() {
+fn a_keyed_write_whose_rows_were_relayed_is_not_retried() {
     for part in ["insert into t", "UPDATE cicadawick_requests"] {
         let mut driver = Driver::start(2);
-        for node in [driver.owner_of("db1"), driver.other_than_owner("db1")] {
+        for node in [driver.owner_of("db1"), driver.non_owner_of("db1")] {
             let session = driver.open(node, "kiosk", &[]);
             let database = driver.databases.get_mut("db1").unwrap();
             database.large_answers = true;
             database.lose_next = Some((part, false));
             let text = format!("/*request_key='k{node}'*/ insert into t values ({node}.)");
             assert_eq!(driver.query(node, session, &text).code(), "08007", "{part}");
-            assert_eq!(driver.reached_with(&format!("{node}.")).len(), 1, "{part}");
+            assert_eq!(driver.databases_reached_by(&format!("{node}.")).len(), 1, "{part}");
         }
     }
 }
 
-/// Guards against a write outage longer than the failover, and against P2: the write of the old
-/// primary is not acknowledged.
+/// Guards against a write outage longer than the failover, and against a violation of P2, an
+/// acknowledged write of the old primary.
 #[test]
 fn writes_wait_through_a_failover() {
     for node in 0..3 {
@@ -299,14 +302,14 @@
         assert!(outage < Micros::from_secs(13), "the write outage was {outage}");
         let finish = driver.query(node, session, "select 1");
         assert_eq!(finish.code(), "");
-        assert_ne!(driver.reached_with("select 1"), ["db1"]);
+        assert_ne!(driver.databases_reached_by("select 1"), ["db1"]);
     }
 }
 
-/// Guards against an old primary that stays in its old term for good, so that the cluster has one
-/// database less for its majorities.
+/// Guards against an old primary that never leaves its old term, which leaves the cluster one database
+/// less for its majorities.
 #[test]
-fn an_old_primary_that_comes_back_follows() {
+fn a_returning_old_primary_becomes_a_replica() {
     let mut driver = Driver::start(3);
     let session = driver.open(0, "kiosk", &[]);
     driver.crash("db1");
@@ -321,15 +324,15 @@
     let owner = driver.owner_of("db1");
     let shown = &driver.dump(owner)["clusters"]["billing"]["databases"]["db1"];
     assert!(shown["provable_age_ms"].as_u64().unwrap() < 1_000, "{shown}");
-    // Its report counts: the majority holds without one of the other two.
+    // Its report counts: there is a majority without one of the other two databases.
     let other = ["db2", "db3"].into_iter().find(|name| !driver.databases[*name].primary).unwrap();
     driver.crash(other);
     assert_eq!(driver.query(0, session, "insert into t values (2)").code(), "");
 }
 
-/// The same for a primary that freezes, which no broken connection tells of.
+/// The same for a frozen primary, which no lost connection reveals.
 #[test]
-fn writes_wait_through_a_freeze() {
+fn writes_wait_through_a_failover_from_a_frozen_primary() {
     for node in 0..3 {
         let mut driver = Driver::start(3);
         let session = driver.open(node, "kiosk", &[]);
@@ -341,12 +344,12 @@
         assert_eq!(finish.code(), "", "{}", driver.logs.join("\n"));
         let outage = finish.at.saturating_sub(start);
         assert!(outage < Micros::from_secs(13), "the write outage was {outage}");
-        assert_eq!(driver.committed_with("values (2)"), 1);
+        assert_eq!(driver.count_commits("values (2)"), 1);
     }
 }
 
-/// Guards against requests that wake each other without a pause while the primary's owner declines and
-/// another owner still names it.
+/// Guards against a busy loop in which waiting requests wake each other, while the primary's owner
+/// declines and another owner still names it as the leader.
 #[test]
 fn waiting_requests_do_not_wake_each_other() {
     for node in 0..3 {
@@ -356,9 +359,9 @@
         for session in sessions {
             driver.send(node, session, "insert into t values (1)");
         }
-        let before = driver.handled;
+        let before = driver.handled_events;
         driver.advance(millis(300));
-        let handled = driver.handled - before;
+        let handled = driver.handled_events - before;
         assert!(handled < 1_000, "{handled} events in 300 ms");
         driver.databases.get_mut("db1").unwrap().down = false;
         driver.advance(Micros::from_secs(2));
@@ -371,7 +374,7 @@
 /// Guards against a cluster that never gets its first primary.
 #[test]
 fn the_first_start_promotes_a_primary() {
-    let mut driver = Driver::cold(3, 0);
+    let mut driver = Driver::start_unsettled(3, 0);
     driver.advance(Micros::from_secs(12));
     let primaries = driver.databases.values().filter(|database| database.primary).count();
     assert_eq!(primaries, 1, "{}", driver.logs.join("\n"));
@@ -379,9 +382,9 @@
     assert_eq!(driver.query(0, session, "insert into t values (1)").code(), "");
 }
 
-/// Guards against a stale read after a write, also through another proxy with the token.
+/// Guards against a stale read after a write, also through another node with the session token.
 #[test]
-fn a_read_after_a_write_sees_it_through_another_proxy() {
+fn a_read_after_a_write_sees_it_through_another_node() {
     let mut driver = Driver::start(3);
     for name in ["db2", "db3"] {
         driver.databases.get_mut(name).unwrap().lags = true;
@@ -393,7 +396,7 @@
     let roamed = driver.open(1, "phone", &labels);
     let finish = driver.query(1, roamed, "select 1");
     assert_eq!(finish.code(), "");
-    assert_eq!(driver.reached_with("select 1"), ["db1"]);
+    assert_eq!(driver.databases_reached_by("select 1"), ["db1"]);
     let forged = driver.open(1, "phone", &[("cicadawick.token", "forged")]);
     let finish = driver.query(1, forged, "show cicadawick.revision");
     assert_eq!(finish.notices.len(), 1);
@@ -410,21 +413,21 @@
         driver.query(node, idle, "begin");
         let busy = driver.open(node, "kiosk", &[]);
         driver.query(node, busy, "begin");
-        driver.databases.get_mut("db1").unwrap().run_time = millis(400);
+        driver.databases.get_mut("db1").unwrap().service_time = millis(400);
         driver.send(node, busy, "insert into t values (1)");
         driver.advance(millis(5));
         for session in [idle, busy] {
-            driver.give(node, NodeEvent::SessionClosed { session });
+            driver.handle_event(node, NodeEvent::SessionClosed { session });
         }
         driver.advance(Micros::from_secs(3));
-        driver.databases.get_mut("db1").unwrap().run_time = millis(2);
-        assert_released(&driver);
+        driver.databases.get_mut("db1").unwrap().service_time = millis(2);
+        assert_nothing_held(&driver);
     }
-    assert_eq!(driver.committed_with("values"), 0);
+    assert_eq!(driver.count_commits("values"), 0);
 }
 
-/// Checks that no node holds work, and no transaction is open.
-fn assert_released(driver: &Driver) {
+/// Checks that no node holds a request and that no transaction is open.
+fn assert_nothing_held(driver: &Driver) {
     for node in 0..driver.nodes.len() {
         let dump = driver.dump(node);
         assert_eq!(dump["forwarded"], 0, "{dump:#}");
@@ -447,9 +450,9 @@
     }
 }
 
-/// Guards against a deadlock of open transactions and work that waits for their connections.
+/// Guards against a deadlock between open transactions and requests that wait for their connections.
 #[test]
-fn open_transactions_leave_room_for_their_statements() {
+fn open_transactions_leave_connections_for_other_statements() {
     let mut driver = Driver::start(2);
     let node = driver.owner_of("db1");
     let sessions: Vec<SessionId> = (0..12).map(|_| driver.open(node, "kiosk", &[])).collect();
@@ -470,22 +473,22 @@
             assert_eq!(driver.query(node, *session, "commit").code(), "");
         }
     }
-    assert_released(&driver);
+    assert_nothing_held(&driver);
 }
 
-/// Guards against lost requests and new work during a graceful shutdown.
+/// Guards against lost requests and new sessions during a graceful shutdown.
 #[test]
-fn a_drain_finishes_what_is_in_flight() {
+fn a_drain_finishes_requests_in_progress() {
     let mut driver = Driver::start(3);
     let node = driver.owner_of("db1");
     let idle = driver.open(node, "kiosk", &[]);
     let busy = driver.open(node, "kiosk", &[]);
     let open = driver.open(node, "kiosk", &[]);
     driver.query(node, open, "begin");
-    driver.databases.get_mut("db1").unwrap().run_time = millis(100);
+    driver.databases.get_mut("db1").unwrap().service_time = millis(100);
     driver.send(node, busy, "insert into t values (1)");
     driver.advance(millis(20));
-    driver.give(node, NodeEvent::DrainRequested);
+    driver.handle_event(node, NodeEvent::DrainRequested);
     let late = driver.open(node, "kiosk", &[]);
     assert_eq!(driver.refused.last().map(|refusal| &*refusal.2.code), Some("57P03"));
     assert!(driver.closed.iter().any(|closed| closed.1 == idle));
@@ -495,7 +498,7 @@
     assert_eq!(driver.query(node, open, "commit").code(), "");
     driver.advance(Micros::from_secs(2));
     assert_eq!(driver.finishes[&(node, busy)][0].code(), "");
-    assert_eq!(driver.committed_with("values"), 2);
+    assert_eq!(driver.count_commits("values"), 2);
     assert_eq!(driver.closed.len(), 3);
     assert_eq!(driver.shut_down, [node]);
     let other = (node + 1) % 3;
@@ -503,7 +506,8 @@
     assert_eq!(driver.query(other, session, "insert into t values (3)").code(), "");
 }
 
-/// Guards against a lower revision, an unreadable one, and work on a backend server that leaves.
+/// Guards against activating a lower or malformed revision, and against requests on a leaving backend
+/// server.
 #[test]
 fn configuration_changes_take_effect() {
     let mut driver = Driver::start(2);
@@ -511,22 +515,22 @@
         driver.nodes[0].answer(driver.now, &OperatorCall::Rollout)["revision"].clone()
     };
     let leaving = fleet_text("").replacen(r#""labels""#, r#""leaving": true, "labels""#, 1);
-    give_configuration(&mut driver, 3, &leaving);
-    give_configuration(&mut driver, 2, &fleet_text(""));
+    deliver_configuration(&mut driver, 3, &leaving);
+    deliver_configuration(&mut driver, 2, &fleet_text(""));
     assert_eq!(revision(&driver), 3);
     let session = driver.open(0, "phone", &[("cicadawick.labels", "kind=short")]);
     assert_eq!(driver.query(0, session, "insert into t values (1)").code(), "WK003");
-    assert!(driver.reached_with("insert").is_empty());
-    give_configuration(&mut driver, 4, "{ broken");
+    assert!(driver.databases_reached_by("insert").is_empty());
+    deliver_configuration(&mut driver, 4, "{ broken");
     assert_eq!(revision(&driver), 3);
     assert_eq!(driver.dump(0)["rejected"], 4);
-    give_configuration(&mut driver, 5, &fleet_text(""));
+    deliver_configuration(&mut driver, 5, &fleet_text(""));
     assert_eq!(revision(&driver), 5);
     assert_eq!(driver.query(0, session, "insert into t values (1)").code(), "");
 }
 
-/// Guards against a primary that stays on a backend server that leaves, against a write outage beyond
-/// its change, and against new statements at the leaving server (P7).
+/// Guards against a primary that stays on a leaving backend server, against a write outage longer than
+/// the switchover, and against new statements at the leaving server (P7).
 #[test]
 fn the_primary_moves_away_from_a_leaving_backend() {
     let mut driver = Driver::start(3);
@@ -534,8 +538,8 @@
     assert_eq!(driver.query(0, session, "insert into t values (1)").code(), "");
     let leaving = fleet_text("").replacen(r#""labels""#, r#""leaving": true, "labels""#, 1);
     let start = driver.now;
-    give_configuration(&mut driver, 3, &leaving);
-    let before = driver.reached_with("").iter().filter(|name| *name == "db1").count();
+    deliver_configuration(&mut driver, 3, &leaving);
+    let before = driver.databases_reached_by("").iter().filter(|name| *name == "db1").count();
     let finish = driver.query(0, session, "insert into t values (2)");
     assert_eq!(finish.code(), "", "{}", driver.logs.join("\n"));
     let outage = finish.at.saturating_sub(start);
@@ -550,13 +554,13 @@
         assert_eq!(driver.query(1, aged, "select 1").code(), "");
         driver.advance(millis(500));
     }
-    let after = driver.reached_with("").iter().filter(|name| *name == "db1").count();
+    let after = driver.databases_reached_by("").iter().filter(|name| *name == "db1").count();
     assert_eq!(before, after, "new statements at the leaving backend server");
     assert_eq!(term(&driver), Some(2), "the primary moved once");
 }
 
-/// Guards against an open transaction that is cut off because its primary leaves, against writes that
-/// stop meanwhile, and against a transaction that keeps the primary for ever.
+/// Guards against aborting an open transaction at once because its primary leaves, against a write
+/// outage meanwhile, and against a slow transaction that delays the switchover without limit.
 #[test]
 fn open_transactions_at_a_leaving_backend_may_finish_in_time() {
     let mut driver = Driver::start(3);
@@ -566,7 +570,7 @@
     let slow = driver.open(0, "report", &[]);
     assert_eq!(driver.query(0, slow, "begin").code(), "");
     let leaving = fleet_text("").replacen(r#""labels""#, r#""leaving": true, "labels""#, 1);
-    give_configuration(&mut driver, 3, &leaving);
+    deliver_configuration(&mut driver, 3, &leaving);
     driver.advance(Micros::from_secs(3));
     let other = driver.open(0, "kiosk", &[]);
     assert_eq!(driver.query(0, other, "insert into t values (2)").code(), "");
@@ -579,7 +583,7 @@
     assert_eq!(driver.query(0, other, "insert into t values (5)").code(), "");
 }
 
-/// Guards against tokens signed with a key that other nodes do not know yet.
+/// Guards against signing tokens with a key that other nodes may not know yet.
 #[test]
 fn a_new_key_signs_only_after_other_nodes_can_know_it() {
     let mut driver = Driver::start(3);
@@ -596,7 +600,7 @@
         let revision = u64::from(*ids.iter().max().unwrap());
         let bytes = document(ids).into();
         let document = "token-keys".into();
-        driver.give(0, NodeEvent::DocumentArrived { document, revision, bytes });
+        driver.handle_event(0, NodeEvent::DocumentArrived { document, revision, bytes });
     };
     let session = driver.open(0, "kiosk", &[]);
     let signed_with = |driver: &mut Driver, id: u8| {
@@ -614,10 +618,10 @@
     assert!(signed_with(&mut driver, 3), "the only key signs at once");
 }
 
-/// Guards against reads that wait until their deadline for a term that the cluster does not have, as
-/// after it was rebuilt.
+/// Guards against reads that wait until their deadline for a term that the cluster never reaches, as
+/// after a rebuild of the cluster.
 #[test]
-fn a_floor_of_an_unknown_term_counts_as_lost() {
+fn a_required_position_of_an_unknown_term_counts_as_lost() {
     let mut driver = Driver::start(3);
     let keys = route::TokenKeys(vec![route::TokenKey { id: 1, secret: [1; 32] }]);
     let floor = model::SessionFloor { term: model::Term(99), position: model::LogPosition(5) };
@@ -636,7 +640,7 @@
     }
 }
 
-/// Guards against an explanation that does not match what routing does.
+/// Guards against an explanation that differs from the actual routing.
 #[test]
 fn explain_names_labels_and_obstacles() {
     let driver = Driver::start(2);
@@ -646,14 +650,14 @@
         cluster: "billing".into(),
     };
     let mut answer = driver.nodes[0].answer(driver.now, &call);
-    // The owners follow from a hash that belongs to another crate.
+    // The owners depend on a hash function of another crate.
     for name in ["db1", "db2", "db3"] {
         answer["databases"][name]["owner"] = "-".into();
     }
     insta::assert_snapshot!(serde_json::to_string_pretty(&answer).unwrap());
 }
 
-/// Guards against session commands that are accepted and not kept, or the other way round.
+/// Guards against session commands that are accepted but not applied, or applied but rejected.
 #[test]
 fn start_up_and_session_commands_are_checked() {
     let mut driver = Driver::start(2);
@@ -668,26 +672,26 @@
     assert_eq!(driver.query(0, session, "set cicadawick.nothing = 1").code(), "42704");
     assert_eq!(driver.query(0, session, "set search_path = x").code(), "0A000");
     assert_eq!(driver.query(0, session, "").frames, b"I\0\0\0\x04");
-    let mut cold = Driver::cold(1, 1);
-    cold.open(0, "phone", &[]);
-    assert_eq!(&*cold.refused[0].2.code, "57P03");
+    let mut unsettled = Driver::start_unsettled(1, 1);
+    unsettled.open(0, "phone", &[]);
+    assert_eq!(&*unsettled.refused[0].2.code, "57P03");
 }
 
-/// Guards against a cancel request that loses the request or its answer.
+/// Guards against a cancelled request that never ends, or whose answer is lost.
 #[test]
 fn a_cancelled_request_ends_once() {
     let mut driver = Driver::start(2);
     let owner = driver.owner_of("db1");
     for node in [owner, 1 - owner] {
-        driver.databases.get_mut("db1").unwrap().run_time = millis(300);
+        driver.databases.get_mut("db1").unwrap().service_time = millis(300);
         let session = driver.open(node, "kiosk", &[]);
         driver.send(node, session, "insert into t values (1)");
         driver.advance(millis(40));
-        driver.give(node, NodeEvent::CancelArrived { session });
+        driver.handle_event(node, NodeEvent::CancelArrived { session });
         driver.advance(millis(500));
         let finishes = &driver.finishes[&(node, session)];
         assert_eq!(finishes.len(), 1);
-        assert_eq!(finishes[0].relayed.len(), 1, "the error of the backend server goes out");
+        assert_eq!(finishes[0].relayed.len(), 1, "the error of the backend server is relayed");
     }
-    assert_eq!(driver.committed_with("values"), 0);
+    assert_eq!(driver.count_commits("values"), 0);
 }
