--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -8,7 +8,7 @@
 use model::{Name, SocketAddress, Term};
 
 use crate::id::{CallId, LaneId, ReportId, RunId, SessionId};
-use crate::work::{ErrorReply, TransactionState, WorkReply, WorkRequest};
+use crate::request::{ErrorReply, TransactionState, WorkReply, WorkRequest};
 
 /// Where the answer of an exchange goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -168,7 +168,7 @@
             .collect();
         waiting.sort();
         for id in waiting {
-            let reason = crate::work::DeclineReason::NotLeader { leader: Some(leader.clone()) };
+            let reason = crate::request::DeclineReason::NotLeader { leader: Some(leader.clone()) };
             self.decline_owner_request(id, reason);
         }
     }
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -7,7 +7,7 @@
 use crate::action::{LogLevel, NodeAction};
 use crate::id::SessionId;
 use crate::owner::PinKey;
-use crate::work::ErrorReply;
+use crate::request::ErrorReply;
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) enum DrainState {
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -21,9 +21,9 @@
 use crate::frames::{ProxyAnswer, executes, proxy_answer};
 use crate::hints::HintTable;
 use crate::id::{CallId, SessionId};
+use crate::request::{CallerRequest, ErrorReply};
 use crate::session::Session;
 use crate::step::PendingStep;
-use crate::work::{CallerRequest, ErrorReply};
 
 /// First back-off after all databases of a cluster declined a request; it doubles up to
 /// [`MAX_BACKOFF`]. It need not be short, because a new leader ends it at once.
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -11,9 +11,9 @@
 use crate::frames::{ProxyAnswer, proxy_answer};
 use crate::id::{LaneId, SessionId};
 use crate::owner::PinKey;
+use crate::request::{ErrorReply, TransactionState, WorkReply};
 use crate::session::SessionTransaction;
 use crate::step::PendingStep;
-use crate::work::{ErrorReply, TransactionState, WorkReply};
 
 impl Node {
     /// Handles the owner's reply to an attempt.
@@ -154,7 +154,7 @@
         request.cancelled = true;
         match request.attempt.as_ref().map(|attempt| attempt.path) {
             None => self.steps.push_back(PendingStep::Route(id)),
-            Some(AttemptPath::Local(work)) => self.cancel_owner_request(work),
+            Some(AttemptPath::Local(owner_request)) => self.cancel_owner_request(owner_request),
             Some(AttemptPath::Remote(call)) => self.emit(NodeAction::CancelForward { call }),
         }
     }
@@ -162,7 +162,7 @@
     /// Abandons an attempt whose session has ended; its result is ignored.
     pub(crate) fn abandon_attempt(&mut self, attempt: &EntryAttempt) {
         match attempt.path {
-            AttemptPath::Local(work) => self.abandon_owner_request(work),
+            AttemptPath::Local(owner_request) => self.abandon_owner_request(owner_request),
             AttemptPath::Remote(call) => {
                 self.entry.calls.remove(&call);
                 self.emit(NodeAction::CancelForward { call });
--- a/crates/node/src/entry/retry.rs
+++ b/crates/node/src/entry/retry.rs
@@ -8,8 +8,8 @@
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
+use crate::request::{DeclineReason, WorkReply};
 use crate::step::PendingStep;
-use crate::work::{DeclineReason, WorkReply};
 
 impl Node {
     /// Schedules a retry after all databases declined.
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -9,9 +9,9 @@
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
 use crate::owner::{PinKey, RequestOrigin};
+use crate::request::WorkRequest;
 use crate::session::Session;
 use crate::timer::TimerKey;
-use crate::work::WorkRequest;
 
 /// The node that a request is sent to.
 enum RouteTarget {
@@ -72,11 +72,11 @@
         let fleet = self.fleet.active.as_ref()?;
         let cluster = fleet.cluster(&session.cluster)?;
         let leader = self.known_leader(&session.cluster);
-        let free = |database: &Name| !request.declined_by.contains(database);
+        let untried = |database: &Name| !request.declined_by.contains(database);
         if request.read {
             let mut hints = self.entry.hints.cluster(self.now, cluster, leader.as_ref());
             for hint in &mut hints {
-                hint.avoid |= !free(&hint.database);
+                hint.avoid |= !untried(&hint.database);
             }
             let choice = match request.primary_only {
                 true => {
@@ -91,17 +91,17 @@
                     &hints,
                 ),
             };
-            if let Some(choice) = choice.filter(|choice| free(&choice.database)) {
+            if let Some(choice) = choice.filter(|choice| untried(&choice.database)) {
                 return Some((choice.database, choice.reason));
             }
         }
-        if let Some(leader) = leader.filter(|leader| free(leader)) {
+        if let Some(leader) = leader.filter(|leader| untried(leader)) {
             return Some((leader, "writes go to the primary"));
         }
         let others = cluster.databases.iter().filter(|database| !database.leaving);
         others
             .map(|database| database.name.clone())
-            .find(free)
+            .find(untried)
             .map(|database| (database, "its owner is asked for the primary"))
     }
 
@@ -126,7 +126,7 @@
         let arrived_ago =
             (floor.is_none() && !session.has_token).then(|| now.saturating_sub(session.arrived));
         let needs_primary = request.policy.max_age == Micros::ZERO || request.primary_only;
-        let work = Box::new(WorkRequest {
+        let routed = Box::new(WorkRequest {
             database: database.clone(),
             caller: session.caller.clone(),
             labels: session.labels.clone(),
@@ -151,15 +151,16 @@
         let (owner, path) = match target {
             RouteTarget::Local => {
                 let pin = in_transaction.then_some(PinKey::Session(id));
-                let work = self.admit_owner_request(RequestOrigin::Session(id), None, pin, *work);
-                (self.settings.name.clone(), AttemptPath::Local(work))
+                let owner_request =
+                    self.admit_owner_request(RequestOrigin::Session(id), None, pin, *routed);
+                (self.settings.name.clone(), AttemptPath::Local(owner_request))
             }
             RouteTarget::Peer(to) => {
                 let call = CallId(self.next_id());
                 let owner = to.name.clone();
                 self.entry.calls.insert(call, ForwardedCall { session: id, to: owner.clone() });
                 self.count("requests.forwarded", 1);
-                self.emit(NodeAction::Forward { call, session: id, to, lane, work });
+                self.emit(NodeAction::Forward { call, session: id, to, lane, work: routed });
                 (owner, AttemptPath::Remote(call))
             }
         };
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -8,7 +8,7 @@
 use model::{LogPosition, Name};
 
 use crate::id::{CallId, LaneId, ReportId, RunId, SessionId};
-use crate::work::{CallerRequest, RunSummary, SessionStart, WorkReply, WorkRequest};
+use crate::request::{CallerRequest, RunSummary, SessionStart, WorkReply, WorkRequest};
 
 /// An event. The I/O driver passes events in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -10,8 +10,8 @@
 use crate::id::{LaneId, RunId};
 use crate::owner::{CommitPurpose, PinKey, RequestOrigin, RequestStage, TransactionPin};
 use crate::proof::ProofCheck;
+use crate::request::{DeclineReason, RunSummary, TransactionState, WorkReply};
 use crate::step::PendingStep;
-use crate::work::{DeclineReason, RunSummary, TransactionState, WorkReply};
 
 /// SQLSTATE that a replica returns for a write.
 const READ_ONLY: &str = "25006";
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -7,7 +7,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use sha2::{Digest, Sha256};
 
-use crate::work::{CallerRequest, RequestKind};
+use crate::request::{CallerRequest, RequestKind};
 
 /// An answer that the proxy builds itself.
 #[derive(Clone, Copy, Debug)]
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -13,7 +13,7 @@
 use crate::frames::{quote_text, simple_query, statement_hash};
 use crate::id::RunId;
 use crate::owner::RequestStage;
-use crate::work::{DeclineReason, ErrorReply, RunSummary, TransactionState, WorkReply};
+use crate::request::{DeclineReason, ErrorReply, RunSummary, TransactionState, WorkReply};
 
 const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS cicadawick_requests (request_key text, \
     caller text, statement_hash text, outcome text, PRIMARY KEY (request_key, caller))";
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -29,10 +29,10 @@
 mod owner;
 mod proof;
 mod record;
+mod request;
 mod session;
 mod step;
 mod timer;
-mod work;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 pub use action::{AnswerTarget, LogLevel, NodeAction, RelayMode};
 pub use event::{NodeEvent, OperatorCall, PlatformAnswer};
 pub use id::{CallId, LaneId, ReportId, RunId, SessionId};
-pub use work::{
+pub use request::{
     CallerRequest, DeclineReason, ErrorReply, RequestKind, RunSummary, SessionStart,
     TransactionState, WorkReply, WorkRequest,
 };
@@ -203,8 +203,8 @@
                 self.forward_arrived(call, from, lane, *work);
             }
             NodeEvent::ForwardCancelled { call } => {
-                if let Some(work) = self.owner.calls.get(&call).copied() {
-                    self.cancel_owner_request(work);
+                if let Some(owner_request) = self.owner.calls.get(&call).copied() {
+                    self.cancel_owner_request(owner_request);
                 }
             }
             NodeEvent::LaneDropped { lane } => {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -22,8 +22,8 @@
 use crate::id::{CallId, LaneId, RunId, SessionId};
 use crate::keyed::KeyStep;
 use crate::proof::ReadProof;
+use crate::request::{DeclineReason, WorkRequest};
 use crate::step::PendingStep;
-use crate::work::{DeclineReason, WorkRequest};
 
 /// Time for which a surplus connection stays open. Opening one takes 12 ms.
 const IDLE_TIMEOUT: Micros = Micros::from_secs(60);
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -7,9 +7,9 @@
 use super::{OwnerRequest, PinKey, RequestOrigin, RequestStage};
 use crate::Node;
 use crate::proof::ProofCheck;
+use crate::request::{DeclineReason, WorkRequest};
 use crate::step::PendingStep;
 use crate::timer::TimerKey;
-use crate::work::{DeclineReason, WorkRequest};
 
 impl Node {
     /// Accepts a request. The reply follows as a pending step or an action, possibly at once.
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -8,8 +8,8 @@
 use crate::action::NodeAction;
 use crate::entry::AttemptPath;
 use crate::id::{CallId, LaneId};
+use crate::request::{DeclineReason, WorkReply, WorkRequest};
 use crate::step::PendingStep;
-use crate::work::{DeclineReason, WorkReply, WorkRequest};
 
 impl Node {
     pub(crate) fn forward_arrived(
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -7,7 +7,7 @@
 use crate::action::NodeAction;
 use crate::id::RunId;
 use crate::owner::{CommitPurpose, OwnerRequest, RequestOrigin, RequestStage};
-use crate::work::{DeclineReason, WorkReply};
+use crate::request::{DeclineReason, WorkReply};
 use admit::WorkId;
 
 /// Maximum age of the last confirmed report round at which the primary is taken to lead, for reads and
--- a/crates/node/src/step.rs
+++ b/crates/node/src/step.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::AttemptPath;
 use crate::id::{LaneId, SessionId};
-use crate::work::WorkReply;
+use crate::request::WorkReply;
 
 #[derive(Debug)]
 pub(crate) enum PendingStep {
