--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -123,8 +123,8 @@
                     NodeAction::AskReport { id, database, address }
                 });
             }
-            WatchAction::Acknowledge { commit, floor } => self.acknowledged(commit, floor),
-            WatchAction::OutcomeUnknown { commit } => self.outcome_unknown(commit),
+            WatchAction::Acknowledge { commit, floor } => self.commit_acknowledged(commit, floor),
+            WatchAction::OutcomeUnknown { commit } => self.commit_unconfirmed(commit),
             WatchAction::LeaderChanged { term, leader } => {
                 let text = format!("cluster {cluster} is led by {leader} in term {term}");
                 self.log(LogLevel::Info, text);
@@ -318,7 +318,8 @@
                     SupervisorEvent::DatabaseFailed { database },
                 );
             }
-            // The database follows after the next promotion, or its operators make it follow.
+            // The database follows after the next promotion, or its operators make it
+            // follow with their own tool.
             ReportPurpose::Follow => self.count("follows.failed", 1),
         }
     }
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -229,12 +229,12 @@
                 let event = WatchEvent::CommitFinished { commit, term, durable };
                 self.handle_monitor_event(&cluster, event);
             }
-            None => self.outcome_unknown(commit),
+            None => self.commit_unconfirmed(commit),
         }
     }
 
-    /// The cluster monitor acknowledged a commit or a report round.
-    pub(crate) fn acknowledged(&mut self, commit: CommitId, floor: SessionFloor) {
+    /// Handles a commit or a report round that the cluster monitor acknowledged.
+    pub(crate) fn commit_acknowledged(&mut self, commit: CommitId, floor: SessionFloor) {
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
                 let Some(request) = self.owner.requests.get_mut(&id) else { return };
@@ -270,8 +270,8 @@
         }
     }
 
-    /// The cluster monitor could not confirm a commit or a report round.
-    pub(crate) fn outcome_unknown(&mut self, commit: CommitId) {
+    /// Handles a commit or a report round that the cluster monitor could not confirm.
+    pub(crate) fn commit_unconfirmed(&mut self, commit: CommitId) {
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
                 let Some(request) = self.owner.requests.get(&id) else { return };
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Rows of a held answer were relayed.
+    /// Notes that rows of a held answer were relayed.
     pub(crate) fn held_rows_relayed(&mut self, run: RunId) {
         let id = self.owner.exchanges.get(&run).copied();
         if let Some(request) = id.and_then(|id| self.owner.requests.get_mut(&id)) {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The connection of a request in progress was lost.
+    /// Ends a request in progress whose connection was lost.
     pub(crate) fn owner_request_lost(&mut self, id: WorkId, message: &str) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         let message = message.to_string();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -172,7 +172,7 @@
             NodeEvent::BackendLost { connection, message } => {
                 self.backend_lost(connection, &message);
             }
-            NodeEvent::RunStarted { run, .. } => self.exchange_started(run),
+            NodeEvent::RunStarted { run, .. } => self.answer_started(run),
             NodeEvent::HeldRowsRelayed { run, .. } => self.held_rows_relayed(run),
             NodeEvent::RunFinished { connection, run, summary } => {
                 self.exchange_finished(connection, run, summary);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -104,6 +104,7 @@
     pub proof: Option<ReadProof>,
     /// Required position sampled for a session without a token.
     pub sampled_position: Option<SessionFloor>,
+    /// Set if the required position was lost or is uncertain: the position to use instead.
     pub replacement_position: Option<SessionFloor>,
     /// Report rounds that the request has waited for.
     pub rounds_awaited: u32,
--- a/crates/node/src/owner/pool.rs
+++ b/crates/node/src/owner/pool.rs
@@ -54,7 +54,7 @@
         self.steps.push_back(PendingStep::ServeQueue(database));
     }
 
-    /// A connection could not be opened or was lost.
+    /// Handles a connection that could not be opened or was lost.
     pub(crate) fn backend_lost(&mut self, connection: ConnectionId, message: &str) {
         let Some(backend) = self.owner.connections.remove(&connection) else { return };
         let database = backend.database;
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -32,8 +32,8 @@
 pub(crate) enum ReadProof {
     /// The database led in this term.
     Primary { term: Term },
-    /// At the time `at` the data age was `age`. The statement reads data of that time or later, so the
-    /// age of the answer is at most `age` plus the time since `at`.
+    /// At the time `at` the data age was `age`. The statement fixes the data that it reads after `at`, so
+    /// the age of the answer is at most `age` plus the time since `at`.
     Replica { age: Micros, at: Micros, limit: Micros },
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// Handles the first byte of an answer: checks the proof again, then relays or discards the answer.
-    pub(crate) fn exchange_started(&mut self, run: RunId) {
+    pub(crate) fn answer_started(&mut self, run: RunId) {
         let Some(id) = self.owner.exchanges.get(&run).copied() else { return };
         let Some(request) = self.owner.requests.get(&id) else { return };
         if !matches!(request.stage, RequestStage::Running { decided: false, .. }) {
--- a/crates/node/tests/random.rs
+++ b/crates/node/tests/random.rs
@@ -142,7 +142,7 @@
             let finish = self.driver.finishes.get(key).and_then(|finishes| finishes.get(*place));
             let Some(finish) = finish else { continue };
             if finish.code().starts_with("WK") {
-                prop_assert_eq!(commits, 0, "{} was told not to have run", text);
+                prop_assert_eq!(commits, 0, "{} was reported as not run", text);
             }
             if finish.code().is_empty() && finish.token.is_some() {
                 prop_assert_eq!(commits, 1, "{} was acknowledged", text);
