--- a/crates/edge/src/codec.rs
+++ b/crates/edge/src/codec.rs
@@ -1,4 +1,4 @@
-//! The wire protocol at the edge of the process, as the hub sees it.
+//! Messages of clients and databases, and the trait that translates them to and from bytes.
 
 use bytes::{Bytes, BytesMut};
 use gate::{
@@ -6,14 +6,14 @@
 };
 use model::Name;
 
-/// A message of a client.
+/// A message from a client or from another node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientMessage {
     Startup {
         database: Name,
     },
     Request(ClientRequest),
-    /// A whole message that is not a valid request; the session goes on.
+    /// A complete message that is not a valid request; the session continues.
     Invalid {
         code: ErrorCode,
         text: String,
@@ -21,7 +21,7 @@
     Terminate,
 }
 
-/// A message of a database.
+/// A message from a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendMessage {
     Row(Bytes),
@@ -30,7 +30,7 @@
     Ready { state: SessionState, point: Option<LogPoint> },
 }
 
-/// Bytes that cannot be a message; the connection is of no further use.
+/// Input that cannot be a message; the connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
     #[error("a message is longer than {limit} bytes")]
@@ -39,17 +39,17 @@
     Malformed(String),
 }
 
-/// Translates between bytes and messages. Reading takes whole messages off the front of the input and
-/// returns `None` when there is no whole one.
+/// Translates between bytes and messages. Each read removes one complete message from the front of the input
+/// and returns `None` while there is none.
 pub trait WireCodec {
-    /// Reads a message of a client.
+    /// Reads a message from a client.
     ///
     /// # Errors
     ///
     /// Fails if the input cannot be the start of a message.
     fn read_client(input: &mut BytesMut) -> Result<Option<ClientMessage>, CodecError>;
 
-    /// Reads a message of another node, which speaks as to a database.
+    /// Reads a message from another node, which uses the protocol for databases.
     ///
     /// # Errors
     ///
@@ -62,7 +62,7 @@
     /// Writes an error that ends a session before or instead of a reply.
     fn write_refusal(code: ErrorCode, text: &str, output: &mut BytesMut);
 
-    /// Writes the answer to a request; `point` is for other nodes only.
+    /// Writes the answer to a request. `point` is given only if a peer node is asking.
     fn write_reply(
         reply: &ClientReply,
         state: SessionState,
@@ -73,16 +73,16 @@
     /// Writes the first message on a connection to a database.
     fn write_startup(cluster: &Name, node: &Name, database: &Name, output: &mut BytesMut);
 
-    /// Writes a command.
+    /// Writes a command for a database.
     fn write_command(command: &BackendCommand, output: &mut BytesMut);
 
-    /// Reads a message of a database.
+    /// Reads a message from a database.
     ///
     /// # Errors
     ///
     /// Fails if the input cannot be the start of a message.
     fn read_backend(input: &mut BytesMut) -> Result<Option<BackendMessage>, CodecError>;
 
-    /// Reads a report out of the rows of an answer.
+    /// Parses a report from the rows of an answer; `None` if they hold none.
     fn read_report(rows: &[Bytes]) -> Option<DatabaseReport>;
 }
--- a/crates/edge/src/hub.rs
+++ b/crates/edge/src/driver.rs
@@ -1,7 +1,7 @@
-//! The actor that owns the gate and all sockets.
+//! The I/O driver: the actor that owns the gate and all sockets.
 //!
-//! Sockets, threads and timers report what happened. The hub passes it to the gate as an event and carries
-//! out the actions in order. Output is collected and written once, after the actions of an event.
+//! Sockets, threads and timers produce events. The driver passes each event to the gate and executes the
+//! returned actions in order. Output is buffered and written once, after all actions of an event.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,21 +25,20 @@
 use crate::metrics::{MetricSet, SharedStatus};
 use crate::socket::{BufferedSocket, ReadOutcome, connect};
 use crate::store::StoreThreads;
-use crate::{EdgeSetup, ProcessOrder, clock};
+use crate::{EdgeSetup, ProcessSignal, clock};
 
-/// Bytes that are read ahead of a client whose request is in progress.
-const CLIENT_READ_AHEAD: usize = 64 * 1024;
+/// Input buffered for a client while its request is in progress.
+const CLIENT_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// Bytes of a message at most, and a little more for the end of its line.
-const INPUT_LIMIT: usize = 1024 * 1024 + 64;
+/// Input buffered for a connection: the 1 MiB limit of a message and room for its line end.
+const MAX_INPUT_BYTES: usize = 1024 * 1024 + 64;
 
-/// Output that a client leaves unread before its connection is closed: the largest answer, twice.
-const OUTPUT_LIMIT: usize = 4 * 1024 * 1024;
+/// Unread output at which a client's connection is closed: twice the largest answer.
+const MAX_UNREAD_OUTPUT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Rows of one answer at most; a database that sends more is not one of ours.
-const ROWS_LIMIT: usize = 4_096;
+/// Rows accepted in one answer. The users' databases never send more, so the connection to one that does is closed.
+const MAX_ANSWER_ROWS: usize = 4_096;
 
-/// Interval of publishing metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A client's connection.
@@ -47,9 +46,9 @@
     socket: BufferedSocket,
     started: bool,
     origin: SessionOrigin,
-    /// A request is in progress; the next one is not read yet.
+    /// A request is in progress; the next one is not parsed until it ends.
     busy: bool,
-    /// Close once the output is written.
+    /// Close the connection once the output is written.
     closing: bool,
     state: SessionState,
 }
@@ -58,14 +57,14 @@
 struct BackendSocket {
     socket: BufferedSocket,
     opened: bool,
-    /// Commands without an answer; `true` for those answered with a report.
-    expected: std::collections::VecDeque<bool>,
+    /// One entry for each unanswered command: whether its answer is a report.
+    unanswered: std::collections::VecDeque<bool>,
     rows: Vec<Bytes>,
-    end: Option<AnswerEnd>,
+    answer_end: Option<AnswerEnd>,
 }
 
-/// Owner of the gate and of all sockets.
-pub(crate) struct Hub<P: crate::Platform> {
+/// Drives the gate and owns all sockets.
+pub(crate) struct IoDriver<P: crate::Platform> {
     gate: Gate,
     node: Name,
     platform: P,
@@ -78,17 +77,18 @@
     client_limit: usize,
     store: StoreThreads<P::Store>,
     _store_events: ChannelGuard,
-    _order_events: ChannelGuard,
+    _signal_events: ChannelGuard,
     status: Arc<SharedStatus>,
     metrics: MetricSet,
-    published: Instant,
+    metrics_published: Instant,
     actions: Vec<GateAction>,
     dirty_clients: Vec<u64>,
     dirty_backends: Vec<u64>,
-    resumed: Vec<u64>,
+    /// Clients whose requests were answered and whose next request may be read.
+    unblocked_clients: Vec<u64>,
 }
 
-impl<P: crate::Platform> Hub<P> {
+impl<P: crate::Platform> IoDriver<P> {
     pub(crate) fn init(
         cx: CX![],
         setup: EdgeSetup<P>,
@@ -98,7 +98,7 @@
         status: Arc<SharedStatus>,
     ) -> Option<Self> {
         let poll = cx.anymap_get::<MioPoll>();
-        let ready = fwd_to!([cx], peers_waiting() as (Ready));
+        let ready = fwd_to!([cx], accept_peers() as (Ready));
         let peer_listener = peer_listener
             .map(|listener| poll.add(listener, Interest::READABLE, 10, ready))
             .transpose();
@@ -109,7 +109,7 @@
                 return None;
             }
         };
-        let ready = fwd_to!([cx], clients_waiting() as (Ready));
+        let ready = fwd_to!([cx], accept_clients() as (Ready));
         let listener = match poll.add(listener, Interest::READABLE, 10, ready) {
             Ok(listener) => listener,
             Err(error) => {
@@ -117,14 +117,14 @@
                 return None;
             }
         };
-        let event = fwd_to!([cx], event() as (GateEvent));
+        let event = fwd_to!([cx], handle_event() as (GateEvent));
         let (events, store_guard) = Channel::new(cx, event);
-        let order = fwd_to!([cx], order() as (ProcessOrder));
-        let (orders, order_guard) = Channel::new(cx, order);
-        crate::start_signals(signals, orders);
+        let signal = fwd_to!([cx], handle_signal() as (ProcessSignal));
+        let (signal_channel, signal_guard) = Channel::new(cx, signal);
+        crate::spawn_signal_thread(signals, signal_channel);
         let node = setup.gate.node.clone();
         let store = StoreThreads::start(setup.platform.store(), node.clone(), events);
-        let mut hub = Hub {
+        let mut driver = IoDriver {
             gate: Gate::new(setup.gate),
             node,
             platform: setup.platform,
@@ -137,23 +137,23 @@
             client_limit: setup.client_limit,
             store,
             _store_events: store_guard,
-            _order_events: order_guard,
+            _signal_events: signal_guard,
             status,
             metrics: MetricSet::default(),
-            published: Instant::now(),
+            metrics_published: Instant::now(),
             actions: Vec::new(),
             dirty_clients: Vec::new(),
             dirty_backends: Vec::new(),
-            resumed: Vec::new(),
+            unblocked_clients: Vec::new(),
         };
-        hub.tick(cx);
-        Some(hub)
+        driver.tick(cx);
+        Some(driver)
     }
 
     fn tick(&mut self, cx: CX![]) {
-        self.event(cx, GateEvent::Timer);
-        if self.published.elapsed() >= METRICS_INTERVAL {
-            self.published = Instant::now();
+        self.handle_event(cx, GateEvent::Timer);
+        if self.metrics_published.elapsed() >= METRICS_INTERVAL {
+            self.metrics_published = Instant::now();
             let gauges = [
                 ("sessions", self.clients.len() as u64),
                 ("links", self.backends.len() as u64),
@@ -167,13 +167,13 @@
         after!(Duration::from_micros(TICK.0), [cx], tick());
     }
 
-    fn order(&mut self, cx: CX![], order: ProcessOrder) {
-        match order {
-            ProcessOrder::Drain => {
+    fn handle_signal(&mut self, cx: CX![], signal: ProcessSignal) {
+        match signal {
+            ProcessSignal::Drain => {
                 log::info!("\"event\":\"sigterm\"");
-                self.event(cx, GateEvent::DrainRequested);
+                self.handle_event(cx, GateEvent::DrainRequested);
             }
-            ProcessOrder::Reload => match self.platform.reload() {
+            ProcessSignal::Reload => match self.platform.reload() {
                 Ok(changes) => {
                     let fields = vec![("changes", changes.into())];
                     log::info!("{}", event_line("settings_reloaded", fields));
@@ -186,37 +186,38 @@
         }
     }
 
-    /// Passes an event to the gate and carries out its actions.
-    fn event(&mut self, cx: CX![], event: GateEvent) {
-        self.handle(cx, event);
+    /// Passes an event to the gate, executes its actions and writes the output.
+    fn handle_event(&mut self, cx: CX![], event: GateEvent) {
+        self.advance_gate(cx, event);
         self.resume_clients(cx);
         self.flush_output(cx);
     }
 
-    /// Reads on for clients whose requests were answered.
+    /// Reads the next requests of clients whose requests were answered.
     fn resume_clients(&mut self, cx: CX![]) {
-        while let Some(client) = self.resumed.pop() {
+        while let Some(client) = self.unblocked_clients.pop() {
             self.read_requests(cx, client);
         }
     }
 
-    fn handle(&mut self, cx: CX![], event: GateEvent) {
+    /// Passes an event to the gate and executes the actions that it returns.
+    fn advance_gate(&mut self, cx: CX![], event: GateEvent) {
         let mut actions = std::mem::take(&mut self.actions);
         self.gate.handle(clock::now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(cx, action);
+            self.execute_action(cx, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, cx: CX![], action: GateAction) {
+    fn execute_action(&mut self, cx: CX![], action: GateAction) {
         match action {
             GateAction::AcceptSession { session } => {
                 if let Some(client) = self.clients.get_mut(&session.0) {
                     P::Codec::write_accept(&mut client.socket.output);
                     client.busy = false;
                     self.dirty_clients.push(session.0);
-                    self.resumed.push(session.0);
+                    self.unblocked_clients.push(session.0);
                 }
             }
             GateAction::RefuseSession { session, code, text } => {
@@ -233,7 +234,7 @@
                     client.state = state;
                     client.busy = false;
                     self.dirty_clients.push(session.0);
-                    self.resumed.push(session.0);
+                    self.unblocked_clients.push(session.0);
                 }
             }
             GateAction::CloseSession { session } => {
@@ -243,7 +244,7 @@
                 }
             }
             GateAction::OpenLink { link, cluster, database, address } => {
-                self.open_link(cx, link, &cluster, &database, address);
+                self.open_backend(cx, link, &cluster, &database, address);
             }
             GateAction::CloseLink { link } => {
                 self.backends.remove(&link.0);
@@ -252,7 +253,7 @@
                 if let Some(backend) = self.backends.get_mut(&link.0) {
                     for command in &commands {
                         P::Codec::write_command(command, &mut backend.socket.output);
-                        backend.expected.push_back(asks_report(command));
+                        backend.unanswered.push_back(returns_report(command));
                     }
                     self.dirty_backends.push(link.0);
                 }
@@ -287,18 +288,18 @@
         for id in std::mem::take(&mut self.dirty_backends) {
             let Some(backend) = self.backends.get_mut(&id) else { continue };
             if backend.socket.flush().is_err() {
-                self.lose_link(cx, id);
+                self.drop_backend(cx, id);
             }
         }
     }
 
     // Clients.
 
-    fn clients_waiting(&mut self, cx: CX![], _: Ready) {
+    fn accept_clients(&mut self, cx: CX![], _: Ready) {
         self.accept(cx, SessionOrigin::Client);
     }
 
-    fn peers_waiting(&mut self, cx: CX![], _: Ready) {
+    fn accept_peers(&mut self, cx: CX![], _: Ready) {
         self.accept(cx, SessionOrigin::Peer);
     }
 
@@ -325,7 +326,7 @@
             }
             self.next_client += 1;
             let id = self.next_client;
-            // Only saves delay.
+            // If this fails, answers are only delayed.
             let _ = stream.set_nodelay(true);
             let ready = fwd_to!([cx], client_ready(id) as (Ready));
             match BufferedSocket::new(&self.poll, stream, ready) {
@@ -355,12 +356,12 @@
 
     fn read_client(&mut self, cx: CX![], id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let limit = if client.busy { CLIENT_READ_AHEAD } else { INPUT_LIMIT };
+        let limit = if client.busy { CLIENT_READ_AHEAD_BYTES } else { MAX_INPUT_BYTES };
         let outcome = client.socket.fill(limit);
         self.read_requests(cx, id);
         self.resume_clients(cx);
         if outcome == ReadOutcome::Ended {
-            self.end_client(cx, id);
+            self.close_client(cx, id);
         } else {
             self.dirty_clients.push(id);
         }
@@ -369,22 +370,23 @@
 
     fn flush_client(&mut self, cx: CX![], id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
-        let lost = client.socket.flush().is_err() || client.socket.output.len() > OUTPUT_LIMIT;
+        let lost =
+            client.socket.flush().is_err() || client.socket.output.len() > MAX_UNREAD_OUTPUT_BYTES;
         let done = client.closing && client.socket.output.is_empty();
         if lost || done {
-            self.end_client(cx, id);
+            self.close_client(cx, id);
         }
     }
 
-    fn end_client(&mut self, cx: CX![], id: u64) {
+    fn close_client(&mut self, cx: CX![], id: u64) {
         if let Some(client) = self.clients.remove(&id)
             && client.started
         {
-            self.handle(cx, GateEvent::SessionClosed { session: SessionId(id) });
+            self.advance_gate(cx, GateEvent::SessionClosed { session: SessionId(id) });
         }
     }
 
-    /// Reads the next request of a client that has none in progress.
+    /// Reads messages of a client until a request is in progress or the input is used up.
     fn read_requests(&mut self, cx: CX![], id: u64) {
         loop {
             let Some(client) = self.clients.get_mut(&id) else { return };
@@ -413,11 +415,11 @@
                     client.started = true;
                     client.busy = true;
                     let origin = client.origin;
-                    self.handle(cx, GateEvent::SessionOpened { session, database, origin });
+                    self.advance_gate(cx, GateEvent::SessionOpened { session, database, origin });
                 }
                 (ClientMessage::Request(request), true) => {
                     client.busy = true;
-                    self.handle(cx, GateEvent::RequestArrived { session, request });
+                    self.advance_gate(cx, GateEvent::RequestArrived { session, request });
                 }
                 (ClientMessage::Invalid { code, text }, true) => {
                     let reply = gate::ClientReply::Failed { code, text };
@@ -426,9 +428,9 @@
                     self.metrics.add("requests_malformed", 1);
                     self.dirty_clients.push(id);
                 }
-                (ClientMessage::Terminate, _) => return self.end_client(cx, id),
+                (ClientMessage::Terminate, _) => return self.close_client(cx, id),
                 (ClientMessage::Startup { .. }, true) | (_, false) => {
-                    let text = "expected a start-up message once, at the start";
+                    let text = "expected exactly one start-up message, as the first message";
                     return self.reject_client(id, ErrorCode::Malformed, text);
                 }
             }
@@ -445,7 +447,7 @@
 
     // Databases.
 
-    fn open_link(
+    fn open_backend(
         &mut self,
         cx: CX![],
         link: LinkId,
@@ -463,9 +465,9 @@
                 let backend = BackendSocket {
                     socket,
                     opened: false,
-                    expected: Default::default(),
+                    unanswered: Default::default(),
                     rows: Vec::new(),
-                    end: None,
+                    answer_end: None,
                 };
                 self.backends.insert(id, backend);
                 self.dirty_backends.push(id);
@@ -473,26 +475,26 @@
             Err(error) => {
                 let fields = vec![("error", error.to_string().into())];
                 log::warn!("{}", event_line("connect_failed", fields));
-                // The gate is not called within its own actions.
-                let lost = fwd_to!([cx], event() as (GateEvent));
+                // The gate must not be re-entered while its actions are executed.
+                let lost = fwd_to!([cx], handle_event() as (GateEvent));
                 lost.fwd(GateEvent::LinkLost { link });
             }
         }
     }
 
-    fn lose_link(&mut self, cx: CX![], id: u64) {
+    fn drop_backend(&mut self, cx: CX![], id: u64) {
         if self.backends.remove(&id).is_some() {
-            self.handle(cx, GateEvent::LinkLost { link: LinkId(id) });
+            self.advance_gate(cx, GateEvent::LinkLost { link: LinkId(id) });
         }
     }
 
     fn backend_ready(&mut self, cx: CX![], id: u64, _: Ready) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
-        let outcome = backend.socket.fill(INPUT_LIMIT);
+        let outcome = backend.socket.fill(MAX_INPUT_BYTES);
         let flushed = backend.socket.flush();
         self.read_answers(cx, id);
         if outcome == ReadOutcome::Ended || flushed.is_err() {
-            self.lose_link(cx, id);
+            self.drop_backend(cx, id);
         }
         self.resume_clients(cx);
         self.flush_output(cx);
@@ -507,46 +509,48 @@
                 Err(error) => {
                     let fields = vec![("link", id.into()), ("error", error.to_string().into())];
                     log::warn!("{}", event_line("answer_malformed", fields));
-                    return self.lose_link(cx, id);
+                    return self.drop_backend(cx, id);
                 }
             };
             match message {
                 BackendMessage::Row(row) => {
-                    if backend.rows.len() >= ROWS_LIMIT || !backend.opened {
-                        return self.lose_link(cx, id);
+                    if backend.rows.len() >= MAX_ANSWER_ROWS || !backend.opened {
+                        return self.drop_backend(cx, id);
                     }
                     backend.rows.push(row);
                 }
-                BackendMessage::Done(signature) => backend.end = Some(AnswerEnd::Done(signature)),
+                BackendMessage::Done(signature) => {
+                    backend.answer_end = Some(AnswerEnd::Done(signature))
+                }
                 BackendMessage::Error { code, .. } if !backend.opened => {
                     self.backends.remove(&id);
-                    self.handle(cx, GateEvent::LinkRefused { link, code });
+                    self.advance_gate(cx, GateEvent::LinkRefused { link, code });
                 }
                 BackendMessage::Error { code, text } => {
-                    backend.end = Some(AnswerEnd::Failed { code, text });
+                    backend.answer_end = Some(AnswerEnd::Failed { code, text });
                 }
                 BackendMessage::Ready { point, .. } if !backend.opened => {
                     backend.opened = true;
-                    self.handle(cx, GateEvent::LinkOpened { link, point });
+                    self.advance_gate(cx, GateEvent::LinkOpened { link, point });
                 }
                 BackendMessage::Ready { state, point } => {
                     let (Some(end), Some(reports)) =
-                        (backend.end.take(), backend.expected.pop_front())
+                        (backend.answer_end.take(), backend.unanswered.pop_front())
                     else {
                         log::warn!("\"event\":\"answer_unexpected\",\"link\":{id}");
-                        return self.lose_link(cx, id);
+                        return self.drop_backend(cx, id);
                     };
                     let rows = std::mem::take(&mut backend.rows);
                     let report = if reports { P::Codec::read_report(&rows) } else { None };
                     let answer = Box::new(BackendAnswer { rows, end, state, point, report });
-                    self.handle(cx, GateEvent::LinkAnswered { link, answer });
+                    self.advance_gate(cx, GateEvent::LinkAnswered { link, answer });
                 }
             }
         }
     }
 }
 
-fn asks_report(command: &BackendCommand) -> bool {
+fn returns_report(command: &BackendCommand) -> bool {
     matches!(
         command,
         BackendCommand::Report | BackendCommand::Fence { .. } | BackendCommand::Demote { .. }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,8 @@
-//! The shell that feeds a [`gate::Gate`] from sockets, timers and the platform's store.
+//! The I/O side of a node: feeds a [`gate::Gate`] from sockets, timers and the platform's store.
 //!
-//! One thread runs a stakker loop with the hub actor, which owns the gate and all sockets. Calls to the store
-//! block and have threads of their own, as have readiness probes, metrics and the log. What is spoken on the
-//! wire and how the store is called is behind the traits [`WireCodec`] and [`StoreClient`].
+//! One thread runs a stakker loop with the actor `IoDriver`, which owns the gate and all sockets. Calls to the store
+//! block and run on threads of their own, as do readiness probes, metrics and the log. The traits [`WireCodec`]
+//! and [`StoreClient`] hide the wire protocol and the calls to the store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 mod clock;
 mod codec;
-mod hub;
+mod driver;
 mod logging;
 mod metrics;
 mod socket;
@@ -26,7 +26,7 @@
 pub use logging::{event_line, start_logging};
 pub use store::{StoreChange, StoreClient, StoreError, StoreItem};
 
-use hub::Hub;
+use driver::IoDriver;
 use metrics::SharedStatus;
 
 /// The platform that a process runs on.
@@ -45,28 +45,28 @@
     fn reload(&mut self) -> anyhow::Result<String>;
 }
 
-/// What a process is started with.
+/// Settings and platform that a process is started with.
 pub struct EdgeSetup<P> {
     pub gate: GateSettings,
     pub client_address: SocketAddr,
     pub ready_address: SocketAddr,
-    /// Path at which the platform's balancer asks for readiness.
+    /// Path of the readiness probes of the platform's load balancer.
     pub ready_path: &'static str,
-    /// Address of the metrics page, if wanted.
+    /// Address of the metrics page; `None` for no page.
     pub metrics_address: Option<SocketAddr>,
-    /// Clients at once; more are closed at once.
+    /// Maximum number of client connections; further ones are closed on accept.
     pub client_limit: usize,
     pub platform: P,
 }
 
-/// Orders of the operating system.
+/// What a signal asks the process to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ProcessOrder {
+pub(crate) enum ProcessSignal {
     Drain,
     Reload,
 }
 
-/// Why a process could not run.
+/// Why a process could not start or keep running.
 #[derive(Debug, thiserror::Error)]
 pub enum EdgeError {
     #[error("failed to listen on {address}: {source}")]
@@ -79,13 +79,13 @@
     Loop(String),
 }
 
-/// Runs a process until it was shut down gracefully.
+/// Runs a process until its graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// Fails if an address cannot be bound or the loop cannot be set up.
+/// Fails if an address cannot be bound, or if the event loop cannot be set up or fails.
 pub fn run<P: Platform>(setup: EdgeSetup<P>) -> Result<(), EdgeError> {
-    // First, as a signal ends the process until then.
+    // Must come first: until the handlers are registered, a signal ends the process.
     let signals = register_signals()?;
     let listen =
         |address| shell::listen(address).map_err(|source| EdgeError::Listen { address, source });
@@ -98,7 +98,7 @@
     if let Some(address) = setup.metrics_address
         && let Err(error) = metrics::serve(address, path, status.clone())
     {
-        // Serving clients does not depend on being watched.
+        // Clients can be served without the metrics page.
         let fields = vec![("error", format!("{error:#}").into())];
         log::warn!("{}", event_line("metrics_unavailable", fields));
     }
@@ -107,13 +107,13 @@
     let mut stakker = Stakker::new(Instant::now());
     let stakker = &mut stakker;
     let poll = shell::new_poll(stakker)?;
-    let hub: ActorOwn<Hub<P>> = actor!(
+    let driver: ActorOwn<IoDriver<P>> = actor!(
         stakker,
-        <Hub<P>>::init(setup, signals, listener, peer_listener, status),
+        <IoDriver<P>>::init(setup, signals, listener, peer_listener, status),
         ret_shutdown!(stakker)
     );
     let idle_pending = stakker.run(Instant::now(), false);
-    match shell::run_loop(stakker, &poll, hub, idle_pending)? {
+    match shell::run_loop(stakker, &poll, driver, idle_pending)? {
         None => {
             log::info!("\"event\":\"stopped\"");
             Ok(())
@@ -122,17 +122,17 @@
     }
 }
 
-/// Takes over the signals that are orders. They are kept until a thread waits for them.
+/// Registers the signal handlers. Signals are queued until a thread waits for them.
 fn register_signals() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Waits for signals on a thread of its own.
-pub(crate) fn start_signals(mut signals: Signals, orders: Channel<ProcessOrder>) {
+/// Forwards signals to the event loop from a thread of its own.
+pub(crate) fn spawn_signal_thread(mut signals: Signals, events: Channel<ProcessSignal>) {
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let order = if signal == SIGHUP { ProcessOrder::Reload } else { ProcessOrder::Drain };
-            orders.send(order);
+            let event = if signal == SIGHUP { ProcessSignal::Reload } else { ProcessSignal::Drain };
+            events.send(event);
         }
     });
 }
