--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -259,12 +259,12 @@
                 }
             }
             GateAction::WriteDuty { attempt, expected, bytes } => {
-                self.store.write_duty(attempt, expected, bytes);
+                self.store.write_promotion_lease(attempt, expected, bytes);
             }
             GateAction::PublishNode { role, registration, bytes } => {
-                self.store.publish(role, registration, bytes);
+                self.store.publish_registration(role, registration, bytes);
             }
-            GateAction::WriteFleet { bytes } => self.store.write_fleet(bytes),
+            GateAction::WriteFleet { bytes } => self.store.write_node_count(bytes),
             GateAction::ReadState => self.store.read_state(),
             GateAction::EndLease { node, lease } => self.store.end_lease(node, lease),
             GateAction::Promote { cluster, database, holder, number } => {
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -1,8 +1,8 @@
-//! The platform's store, and the threads that talk to it because its calls block.
+//! The interface of the platform's store, and the threads that make its blocking calls.
 //!
-//! One thread lists everything once and then waits for changes; a single watch, as each counts as a call. One
-//! thread keeps this node's registration alive. Calls of a promotion are rare and get a thread each, so that none waits behind
-//! another.
+//! One thread lists all items and then watches for changes, with a single watch because each one counts as a
+//! call. One thread renews this node's registration. The calls of a promotion are rare, and each runs on a
+//! thread of its own so that none waits for another.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,39 +20,40 @@
 use crate::clock;
 use crate::logging::event_line;
 
-/// Time that a watch waits at the store. Each return is a call. A watch may be dropped by the store without a
-/// word, and then nothing is heard for as long.
-const WATCH_WAIT: Duration = Duration::from_millis(4_000);
+/// Time for which the store may hold a watch that has no changes; every return counts as a call. The store may
+/// drop a watch silently, and then changes go unnoticed for this long.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// The same at a node that only forwards and needs little more than the configuration. A connection to the store
-/// that went silent is noticed within it and its margin, which is below the users' shortest time until a node is
-/// in touch (4 s) and their shortest bound of a configuration (3 s) together.
-const STANDBY_WATCH_WAIT: Duration = Duration::from_millis(5_500);
+/// Watch timeout of a node that only forwards and needs little more than the configuration. A silent connection
+/// to the store is noticed within this time and the watch's margin. Together they stay below the sum of the users'
+/// shortest time until a node reaches the store (4 s) and their shortest bound for a configuration change (3 s).
+const STANDBY_WATCH_TIMEOUT: Duration = Duration::from_millis(5_500);
 
-/// Pause before a watch is repeated after changes of registrations where there are many nodes, so that a series of
-/// them is one return of the watch and not one each. An announced change of primary may wait for it.
-const OWNER_PAUSE: Duration = Duration::from_millis(50);
+/// Pause before the next watch after registrations changed, with many nodes: a series of changes then returns
+/// from one watch instead of one each. An announced failover may be delayed by it.
+const OWNER_WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause after any change at a node that only forwards: a third of the shortest bound of a configuration.
-const STANDBY_PAUSE: Duration = Duration::from_millis(1_000);
+/// Pause before the next watch after any change at a node that only forwards: a third of the users' shortest
+/// bound for a configuration change.
+const STANDBY_WATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Pause after a failed call, so that an outage does not cause a burst of calls.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Pause after a failed call, which keeps an outage from causing a burst of calls. Grows with each failure.
+const RETRY_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Longest pause after repeated failures. Recovery has to be noticed within a second.
-const RETRY_PAUSE_LONGEST: Duration = Duration::from_millis(700);
+/// Recovery of the store has to be noticed within a second.
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(700);
 
 /// Time to live of this node's registration.
 const REGISTRATION_TTL: Duration = Duration::from_millis(3_000);
 
-/// Interval of renewing it: two renewals within the time of a read permit.
+/// Interval between renewals at an owner: two renewals fit in the duration of a read lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(330);
 
-/// The same without a permit: two renewals within the time to live.
+/// Interval between renewals at a standby, which has no read lease: two fit in the time to live.
 const STANDBY_RENEWAL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Registrations that wait to be published.
-const PUBLISH_QUEUE: usize = 16;
+/// Maximum number of commands that wait for the registration thread.
+const PUBLISH_QUEUE_CAPACITY: usize = 16;
 
 /// A stored item.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,13 +61,13 @@
     Routes(Box<RouteTable>),
     Database(ListedDatabase),
     Document(StoredDocument),
-    /// An entry of a database that cannot be read; it names no database to use.
+    /// The entry of this database cannot be parsed, so the database is not used.
     UnreadableDatabase(Name),
-    /// Anything else.
+    /// An item of any other kind.
     Unknown,
 }
 
-/// A change of the store.
+/// A change in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreChange {
     Set(StoreItem),
@@ -77,22 +78,22 @@
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// No whole answer; a write may have taken effect or may yet.
-    #[error("no answer from the store: {0}")]
+    /// No complete answer arrived. A write may have taken effect or may still do so.
+    #[error("no complete answer from the store: {0}")]
     Unreachable(String),
-    /// Nothing was done.
+    /// The call had no effect.
     #[error("the store refused the call with status {0}")]
     Refused(u16),
-    /// The history that a watch needs is no longer there.
-    #[error("the store has dropped this part of its history")]
+    /// The store no longer keeps the revision from which a watch should continue.
+    #[error("the store no longer keeps the history from the requested revision")]
     HistoryGone,
     #[error("the lease has ended")]
     LeaseEnded,
-    #[error("the store sent an answer that cannot be read: {0}")]
+    #[error("failed to decode the store's answer: {0}")]
     Unreadable(String),
 }
 
-/// Calls to the store. They block, with time limits.
+/// Blocking calls to the store, each with a time limit.
 pub trait StoreClient: Clone + Send + 'static {
     /// Lists all items, and returns the revision from which to watch them.
     ///
@@ -108,19 +109,20 @@
     /// Fails if the store does not answer in time, refuses, or no longer has the history.
     fn watch(&self, after: u64, wait: Duration) -> Result<(Vec<StoreChange>, u64), StoreError>;
 
-    /// Writes the duty's document if its revision is `expected`; `Ok(None)` means that it is not.
+    /// Writes the promotion lease's document if its revision is `expected`; returns `Ok(None)` if it is not.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer in time or refuses.
-    fn write_duty(&self, expected: u64, bytes: &[u8]) -> Result<Option<u64>, StoreError>;
+    fn write_promotion_lease(&self, expected: u64, bytes: &[u8])
+    -> Result<Option<u64>, StoreError>;
 
-    /// Writes the number of nodes, whatever is stored.
+    /// Writes the document with the number of nodes, unconditionally.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer in time or refuses.
-    fn write_fleet(&self, bytes: &[u8]) -> Result<(), StoreError>;
+    fn write_node_count(&self, bytes: &[u8]) -> Result<(), StoreError>;
 
     /// Writes a node's registration in a role under a lease.
     ///
@@ -149,56 +151,62 @@
     /// Fails if the store does not answer in time or refuses, or if the lease has ended.
     fn renew_lease(&self, lease: u64) -> Result<(), StoreError>;
 
-    /// Ends a lease; its registration goes with it.
+    /// Ends a lease, which removes the registration written under it.
     ///
     /// # Errors
     ///
     /// Fails if the store does not answer in time or refuses.
     fn end_lease(&self, lease: u64) -> Result<(), StoreError>;
 
-    /// Asks the platform to promote a database. The call must not arrive after it returned.
-    fn promote(&self, cluster: &Name, database: &Name, holder: &Name, number: u64)
-    -> PromoteResult;
+    /// Asks the platform to promote a database, as the given holder of the promotion lease. The request must
+    /// not reach the platform after this returned.
+    fn promote(
+        &self,
+        cluster: &Name,
+        database: &Name,
+        holder: &Name,
+        fencing_token: u64,
+    ) -> PromoteResult;
 }
 
-/// The threads of one process.
+/// Handle to the threads that call the store.
 pub(crate) struct StoreThreads<S> {
     client: S,
     events: Channel<GateEvent>,
-    publish: SyncSender<PublishOrder>,
-    /// Whether this node only forwards.
+    commands: SyncSender<PublishCommand>,
+    /// Whether this node is a standby, which only forwards requests.
     standby: Arc<AtomicBool>,
 }
 
-/// A registration as the gate wants it.
-struct RegistrationOrder {
+/// A registration that the gate asked to publish.
+struct RegistrationUpdate {
     role: NodeRole,
     number: u64,
     bytes: Vec<u8>,
 }
 
-enum PublishOrder {
-    Record(RegistrationOrder),
+enum PublishCommand {
+    Publish(RegistrationUpdate),
     End,
 }
 
 impl<S: StoreClient> StoreThreads<S> {
-    /// Starts the watch and the registration.
+    /// Starts the threads of the watch and of the registration.
     pub(crate) fn start(client: S, node: Name, events: Channel<GateEvent>) -> Self {
         let standby = Arc::new(AtomicBool::new(true));
         let (watcher, changes, role) = (client.clone(), events.clone(), standby.clone());
         thread::spawn(move || watch_store(&watcher, &changes, &role));
-        let (publish, orders) = sync_channel(PUBLISH_QUEUE);
+        let (commands, receiver) = sync_channel(PUBLISH_QUEUE_CAPACITY);
         let registrar = client.clone();
         let renewals = events.clone();
-        thread::spawn(move || keep_registration(&registrar, &node, &orders, &renewals));
-        StoreThreads { client, events, publish, standby }
+        thread::spawn(move || maintain_registration(&registrar, &node, &receiver, &renewals));
+        StoreThreads { client, events, commands, standby }
     }
 
-    pub(crate) fn publish(&self, role: NodeRole, number: u64, bytes: Vec<u8>) {
+    pub(crate) fn publish_registration(&self, role: NodeRole, number: u64, bytes: Vec<u8>) {
         self.standby.store(role == NodeRole::Standby, Ordering::Relaxed);
-        let order = RegistrationOrder { role, number, bytes };
-        match self.publish.try_send(PublishOrder::Record(order)) {
+        let update = RegistrationUpdate { role, number, bytes };
+        match self.commands.try_send(PublishCommand::Publish(update)) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
                 log::warn!("\"event\":\"registration_dropped\"");
@@ -206,15 +214,15 @@
         }
     }
 
-    /// Ends the registration; a full queue leaves it to its time to live.
+    /// Removes the registration. If the queue is full, it expires with its lease instead.
     pub(crate) fn end_registration(&self) {
-        let _ = self.publish.try_send(PublishOrder::End);
+        let _ = self.commands.try_send(PublishCommand::End);
     }
 
-    pub(crate) fn write_duty(&self, attempt: u64, expected: u64, bytes: Vec<u8>) {
+    pub(crate) fn write_promotion_lease(&self, attempt: u64, expected: u64, bytes: Vec<u8>) {
         let (client, events) = (self.client.clone(), self.events.clone());
         thread::spawn(move || {
-            let result = match client.write_duty(expected, &bytes) {
+            let result = match client.write_promotion_lease(expected, &bytes) {
                 Ok(Some(revision)) => WriteResult::Written { revision },
                 Ok(None) => WriteResult::Conflict,
                 Err(error) => {
@@ -226,11 +234,11 @@
         });
     }
 
-    /// Writes the number of nodes; the gate tries again if that fails.
-    pub(crate) fn write_fleet(&self, bytes: Vec<u8>) {
+    /// Writes the number of nodes. A failure is only logged, as the gate retries.
+    pub(crate) fn write_node_count(&self, bytes: Vec<u8>) {
         let client = self.client.clone();
         thread::spawn(move || {
-            if let Err(error) = client.write_fleet(&bytes) {
+            if let Err(error) = client.write_node_count(&bytes) {
                 log_failure("write_fleet", &error);
             }
         });
@@ -264,10 +272,10 @@
         });
     }
 
-    pub(crate) fn promote(&self, cluster: Name, database: Name, holder: Name, number: u64) {
+    pub(crate) fn promote(&self, cluster: Name, database: Name, holder: Name, fencing_token: u64) {
         let (client, events) = (self.client.clone(), self.events.clone());
         thread::spawn(move || {
-            let result = client.promote(&cluster, &database, &holder, number);
+            let result = client.promote(&cluster, &database, &holder, fencing_token);
             events.send(GateEvent::PromoteAnswered { cluster, result });
         });
     }
@@ -275,11 +283,11 @@
 
 fn read_state<S: StoreClient>(client: &S) -> Result<StoreState, StoreError> {
     let (items, _) = client.list()?;
-    Ok(store_state(items).0)
+    Ok(sort_items(items).0)
 }
 
-/// Sorts listed items; returns the configuration apart.
-fn store_state(items: Vec<StoreItem>) -> (StoreState, Option<Box<RouteTable>>) {
+/// Sorts listed items by kind; returns the configuration separately.
+fn sort_items(items: Vec<StoreItem>) -> (StoreState, Option<Box<RouteTable>>) {
     let mut state = StoreState { databases: Vec::new(), documents: Vec::new() };
     let mut routes = None;
     for item in items {
@@ -298,65 +306,64 @@
     log::warn!("{}", event_line("store_call_failed", fields));
 }
 
-/// The watch of the whole store.
+/// Watches the whole store.
 struct StoreWatch<'a, S> {
     client: &'a S,
     events: &'a Channel<GateEvent>,
-    /// Whether this node only forwards.
+    /// Whether this node is a standby, which only forwards requests.
     standby: &'a AtomicBool,
-    /// Registered nodes.
-    nodes: FastSet<Name>,
+    registered_nodes: FastSet<Name>,
 }
 
 impl<S: StoreClient> StoreWatch<'_, S> {
-    /// Passes on everything that is stored; returns the revision from which to follow.
+    /// Reports all stored items; returns the revision from which to watch.
     fn list(&mut self) -> Result<u64, StoreError> {
         let (items, revision) = self.client.list()?;
-        self.nodes = items.iter().filter_map(registered_node).collect();
-        send_list(items, self.events);
+        self.registered_nodes = items.iter().filter_map(registered_node).collect();
+        report_items(items, self.events);
         Ok(revision)
     }
 
-    /// Waits for changes and passes them on; returns the next revision.
-    fn follow(&mut self, after: u64) -> Result<u64, StoreError> {
-        let wait = if self.forwards() { STANDBY_WATCH_WAIT } else { WATCH_WAIT };
+    /// Waits for changes and reports them; returns the next revision.
+    fn wait_for_changes(&mut self, after: u64) -> Result<u64, StoreError> {
+        let wait = if self.forwards_only() { STANDBY_WATCH_TIMEOUT } else { WATCH_TIMEOUT };
         let (changes, next) = self.client.watch(after, wait)?;
         let changed = !changes.is_empty();
         let registered = changes.iter().any(changes_registration);
         for change in changes {
             match &change {
-                StoreChange::Set(item) => self.nodes.extend(registered_node(item)),
+                StoreChange::Set(item) => self.registered_nodes.extend(registered_node(item)),
                 StoreChange::DocumentRemoved(Document::Node(_, node)) => {
-                    self.nodes.remove(node);
+                    self.registered_nodes.remove(node);
                 }
                 StoreChange::DocumentRemoved(Document::Duty | Document::Fleet)
                 | StoreChange::DatabaseRemoved(_) => {}
             }
-            send_change(change, self.events);
+            report_change(change, self.events);
         }
-        if changed && self.forwards() {
-            thread::sleep(STANDBY_PAUSE);
-        } else if registered && self.nodes.len() > FEW_NODES {
-            thread::sleep(OWNER_PAUSE);
+        if changed && self.forwards_only() {
+            thread::sleep(STANDBY_WATCH_INTERVAL);
+        } else if registered && self.registered_nodes.len() > FEW_NODES {
+            thread::sleep(OWNER_WATCH_INTERVAL);
         }
         Ok(next)
     }
 
-    /// Tells whether this is one of many nodes and only forwards.
-    fn forwards(&self) -> bool {
-        self.nodes.len() > FEW_NODES && self.standby.load(Ordering::Relaxed)
+    /// Returns whether this node only forwards: it is a standby and one of many nodes.
+    fn forwards_only(&self) -> bool {
+        self.registered_nodes.len() > FEW_NODES && self.standby.load(Ordering::Relaxed)
     }
 }
 
-/// Lists the store and follows its changes for as long as the process runs.
+/// Lists the store and watches it for as long as the process runs.
 fn watch_store<S: StoreClient>(client: &S, events: &Channel<GateEvent>, standby: &AtomicBool) {
-    let mut watch = StoreWatch { client, events, standby, nodes: FastSet::default() };
+    let mut watch = StoreWatch { client, events, standby, registered_nodes: FastSet::default() };
     let mut after = None;
     let mut failures = 0_u32;
     loop {
         let result = match after {
             None => watch.list(),
-            Some(revision) => watch.follow(revision),
+            Some(revision) => watch.wait_for_changes(revision),
         };
         match result {
             Ok(revision) => {
@@ -372,9 +379,9 @@
                     log_failure("watch", &error);
                     events.send(GateEvent::StoreReachable(false));
                 }
-                // A list is over sooner than a watch if the store is still silent.
+                // Unlike a watch, a list fails quickly while the store is still silent.
                 after = None;
-                thread::sleep((RETRY_PAUSE * (failures + 1)).min(RETRY_PAUSE_LONGEST));
+                thread::sleep((RETRY_BACKOFF * (failures + 1)).min(MAX_RETRY_BACKOFF));
                 failures = failures.saturating_add(1);
             }
         }
@@ -399,17 +406,17 @@
     }
 }
 
-fn send_list(items: Vec<StoreItem>, events: &Channel<GateEvent>) {
-    let (state, routes) = store_state(items);
+fn report_items(items: Vec<StoreItem>, events: &Channel<GateEvent>) {
+    let (state, routes) = sort_items(items);
     if let Some(table) = routes {
         events.send(GateEvent::RoutesChanged(table));
     }
-    // The nodes decide which databases this one connects to.
+    // Must precede the databases: the registered nodes decide to which databases this node connects.
     events.send(GateEvent::DocumentsListed(state.documents));
     events.send(GateEvent::DatabasesListed(state.databases));
 }
 
-fn send_change(change: StoreChange, events: &Channel<GateEvent>) {
+fn report_change(change: StoreChange, events: &Channel<GateEvent>) {
     let event = match change {
         StoreChange::Set(StoreItem::Routes(table)) => GateEvent::RoutesChanged(table),
         StoreChange::Set(StoreItem::Database(database)) => GateEvent::DatabaseChanged(database),
@@ -423,37 +430,38 @@
     events.send(event);
 }
 
-/// A registration that is stored.
+/// The registration that is in the store.
 struct StoredRegistration {
     role: NodeRole,
     lease: u64,
 }
 
-/// Publishes this node's registration and keeps its lease, which is an owner's read permit.
-fn keep_registration<S: StoreClient>(
+/// Publishes this node's registration and renews the lease under which it is stored. At an owner, that lease is
+/// also its read lease.
+fn maintain_registration<S: StoreClient>(
     client: &S,
     node: &Name,
-    orders: &Receiver<PublishOrder>,
+    commands: &Receiver<PublishCommand>,
     events: &Channel<GateEvent>,
 ) {
     let mut stored: Option<StoredRegistration> = None;
-    let mut wanted: Option<RegistrationOrder> = None;
-    let mut dirty = false;
+    let mut latest: Option<RegistrationUpdate> = None;
+    let mut unpublished = false;
     let mut renew_at = Instant::now();
     loop {
-        match orders.recv_timeout(renew_at.saturating_duration_since(Instant::now())) {
-            Ok(PublishOrder::Record(order)) => {
-                wanted = Some(order);
-                dirty = true;
+        match commands.recv_timeout(renew_at.saturating_duration_since(Instant::now())) {
+            Ok(PublishCommand::Publish(update)) => {
+                latest = Some(update);
+                unpublished = true;
             }
-            Ok(PublishOrder::End) => {
+            Ok(PublishCommand::End) => {
                 if let Some(stored) = stored.take() {
                     end_registration(client, &stored);
                 }
                 return;
             }
             Err(RecvTimeoutError::Timeout) => {
-                let role = wanted.as_ref().map(|order| order.role);
+                let role = latest.as_ref().map(|update| update.role);
                 let interval = match role {
                     Some(NodeRole::Standby) => STANDBY_RENEWAL_INTERVAL,
                     Some(NodeRole::Owner) | None => RENEWAL_INTERVAL,
@@ -462,31 +470,31 @@
             }
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        let Some(order) = &wanted else { continue };
+        let Some(update) = &latest else { continue };
         let sent = clock::now();
         let result = match &stored {
-            Some(stored) if stored.role == order.role && dirty => {
-                client.write_registration(order.role, node, &order.bytes, stored.lease)
+            Some(stored) if stored.role == update.role && unpublished => {
+                client.write_registration(update.role, node, &update.bytes, stored.lease)
             }
-            Some(stored) if stored.role == order.role => client.renew_lease(stored.lease),
+            Some(stored) if stored.role == update.role => client.renew_lease(stored.lease),
             _ => {
-                dirty = true;
-                open_registration(client, node, order).map(|opened| {
+                unpublished = true;
+                open_registration(client, node, update).map(|opened| {
                     if let Some(former) = stored.replace(opened) {
                         end_registration(client, &former);
                     }
-                    // The permit begins with the first renewal sent after the registration is stored.
+                    // The read lease starts with the first renewal sent after the registration is stored.
                     renew_at = Instant::now();
                 })
             }
         };
         match result {
             Ok(()) => {
-                // A write of the registration alone does not renew its lease.
-                if !std::mem::take(&mut dirty) {
-                    events.send(match order.role {
+                // Writing the registration does not renew its lease.
+                if !std::mem::take(&mut unpublished) {
+                    events.send(match update.role {
                         NodeRole::Owner => {
-                            GateEvent::PermitRenewed { sent, registration: order.number }
+                            GateEvent::PermitRenewed { sent, registration: update.number }
                         }
                         NodeRole::Standby => GateEvent::ContactRenewed { sent },
                     });
@@ -496,7 +504,7 @@
                 log_failure("registration", &error);
                 if error == StoreError::LeaseEnded {
                     stored = None;
-                    dirty = true;
+                    unpublished = true;
                     events.send(GateEvent::PermitLost);
                 }
             }
@@ -507,11 +515,11 @@
 fn open_registration<S: StoreClient>(
     client: &S,
     node: &Name,
-    order: &RegistrationOrder,
+    update: &RegistrationUpdate,
 ) -> Result<StoredRegistration, StoreError> {
     let lease = client.open_lease(REGISTRATION_TTL)?;
-    client.write_registration(order.role, node, &order.bytes, lease)?;
-    Ok(StoredRegistration { role: order.role, lease })
+    client.write_registration(update.role, node, &update.bytes, lease)?;
+    Ok(StoredRegistration { role: update.role, lease })
 }
 
 fn end_registration<S: StoreClient>(client: &S, stored: &StoredRegistration) {
