--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -21,7 +21,7 @@
 use stakker_mio::{MioPoll, MioSource, Ready};
 
 use crate::codec::{BackendMessage, ClientMessage, WireCodec};
-use crate::logging::{dropped_lines, event_line, render};
+use crate::logging::{dropped_lines, event_line, render_record};
 use crate::metrics::{MetricSet, SharedStatus};
 use crate::socket::{BufferedSocket, ReadOutcome, connect};
 use crate::store::StoreThreads;
@@ -161,7 +161,7 @@
             ];
             self.metrics.publish(&self.status, &gauges);
         }
-        if self.status.wants_dump() {
+        if self.status.dump_requested() {
             self.status.set_dump(self.gate.dump().to_string());
         }
         after!(Duration::from_micros(TICK.0), [cx], tick());
@@ -275,7 +275,7 @@
                 self.store.end_registration();
                 stop!(cx);
             }
-            GateAction::Log(record) => log::info!("{}", render(&record)),
+            GateAction::Log(record) => log::info!("{}", render_record(&record)),
             GateAction::Count { counter, amount } => self.metrics.add(counter, amount),
             GateAction::Observe { histogram, micros } => self.metrics.observe(histogram, micros),
         }
@@ -360,7 +360,7 @@
         let outcome = client.socket.fill(limit);
         self.read_requests(cx, id);
         self.resume_clients(cx);
-        if outcome == ReadOutcome::Ended {
+        if outcome == ReadOutcome::Closed {
             self.close_client(cx, id);
         } else {
             self.dirty_clients.push(id);
@@ -493,7 +493,7 @@
         let outcome = backend.socket.fill(MAX_INPUT_BYTES);
         let flushed = backend.socket.flush();
         self.read_answers(cx, id);
-        if outcome == ReadOutcome::Ended || flushed.is_err() {
+        if outcome == ReadOutcome::Closed || flushed.is_err() {
             self.drop_backend(cx, id);
         }
         self.resume_clients(cx);
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -94,9 +94,9 @@
     let peer_listener = setup.gate.peer_address.map(listen).transpose()?;
     let status = Arc::new(SharedStatus::default());
     let path = setup.ready_path;
-    metrics::serve(setup.ready_address, path, status.clone()).map_err(EdgeError::Ready)?;
+    metrics::serve_http(setup.ready_address, path, status.clone()).map_err(EdgeError::Ready)?;
     if let Some(address) = setup.metrics_address
-        && let Err(error) = metrics::serve(address, path, status.clone())
+        && let Err(error) = metrics::serve_http(address, path, status.clone())
     {
         // Clients can be served without the metrics page.
         let fields = vec![("error", format!("{error:#}").into())];
--- a/crates/edge/src/logging.rs
+++ b/crates/edge/src/logging.rs
@@ -1,7 +1,7 @@
-//! Structured log lines on standard output: one JSON object each, written by a thread of its own.
+//! Structured logging to standard output, one JSON object per line, written by a separate thread.
 //!
-//! The queue to the thread is bounded. A line that finds it full is dropped and counted, so that a reader
-//! that stalls never blocks a decision.
+//! The queue to that thread is bounded. If it is full, lines are dropped and counted, so that a stalled reader of
+//! the log never blocks the event loop.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,39 +11,39 @@
 use gate::{LogRecord, LogValue};
 use log::LevelFilter;
 
-/// Lines that wait to be written: a few seconds of a node's busiest traffic.
-const LINE_QUEUE: usize = 8_192;
+/// Lines that wait to be written. Holds a few seconds of log at a node's peak traffic.
+const LINE_QUEUE_CAPACITY: usize = 8_192;
 
 /// Lines dropped because the queue was full.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Starts the log.
+/// Installs the logger and starts the thread that writes.
 ///
 /// # Errors
 ///
-/// Fails if a log was started before.
+/// Fails if a logger is already installed.
 pub fn start_logging() -> anyhow::Result<()> {
-    let (sender, lines) = sync_channel::<String>(LINE_QUEUE);
+    let (sender, lines) = sync_channel::<String>(LINE_QUEUE_CAPACITY);
     std::thread::spawn(move || write_lines(&lines));
     fern::Dispatch::new()
         .format(|out, message, record| {
-            let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let level = record.level();
             out.finish(format_args!(
                 "{{\"time_ms\":{},\"level\":\"{level}\",{message}}}",
-                since.as_millis()
+                elapsed.as_millis()
             ));
         })
         .level(LevelFilter::Warn)
         .level_for("edge", LevelFilter::Info)
         .level_for("adapter", LevelFilter::Info)
         .filter(|metadata| {
-            // Libraries do not write in this format.
+            // Messages of libraries are not in this format.
             metadata.target().starts_with("edge") || metadata.target().starts_with("adapter")
         })
         .chain(fern::Output::call(move |record| {
             if sender.try_send(record.args().to_string()).is_err() {
-                DROPPED.fetch_add(1, Ordering::Relaxed);
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             }
         }))
         .apply()?;
@@ -52,7 +52,7 @@
 
 /// Returns the number of dropped lines.
 pub(crate) fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 fn write_lines(lines: &Receiver<String>) {
@@ -67,24 +67,24 @@
             batch.push('\n');
         }
         if stdout.write_all(batch.as_bytes()).is_err() || stdout.flush().is_err() {
-            // Nobody reads the log; serving goes on without it.
+            // The reader of the log is gone; the process continues without it.
             return;
         }
     }
 }
 
-/// Renders a line of a shell as the inside of a JSON object, for the macros of crate log.
+/// Renders an event as the members of a JSON object without braces, for the macros of crate log.
 ///
 /// ```
 /// let line = edge::event_line("accept_failed", vec![("error", "no slot".to_string().into())]);
 /// assert_eq!(line.replace('"', ""), "event:accept_failed,error:no slot");
 /// ```
 pub fn event_line(event: &'static str, fields: Vec<(&'static str, LogValue)>) -> String {
-    render(&LogRecord { event, fields })
+    render_record(&LogRecord { event, fields })
 }
 
-/// Writes a record of the core as the inside of a JSON object.
-pub(crate) fn render(record: &LogRecord) -> String {
+/// Renders a record of the gate as the members of a JSON object without braces.
+pub(crate) fn render_record(record: &LogRecord) -> String {
     let mut line = format!("\"event\":\"{}\"", record.event);
     for (name, value) in &record.fields {
         line.push_str(",\"");
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, and the HTTP addresses for readiness and metrics.
+//! Counters and latency histograms, and the HTTP server for readiness, metrics and state dumps.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,23 +10,23 @@
 use hdrhistogram::Histogram;
 use tiny_http::{Response, Server};
 
-/// Largest value of a histogram: one minute, far beyond any time limit.
-const LARGEST_MICROS: u64 = 60_000_000;
+/// Largest value of a histogram: one minute, which is longer than any timeout.
+const MAX_HISTOGRAM_MICROS: u64 = 60_000_000;
 
-/// Time that a request for a dump waits for the event loop, in parts. The loop looks every 20 ms.
-const DUMP_WAIT: Duration = Duration::from_millis(10);
-const DUMP_WAITS: u32 = 50;
+/// How often, and how many times, a request for a dump checks whether the event loop has written it. The loop
+/// looks for such a request every 20 ms.
+const DUMP_POLL_INTERVAL: Duration = Duration::from_millis(10);
+const DUMP_POLL_LIMIT: u32 = 50;
 
-/// Prefix of the metrics' names.
 const METRIC_PREFIX: &str = "cicadawick";
 
-/// What the HTTP threads read.
+/// State shared between the event loop and the HTTP threads.
 #[derive(Debug, Default)]
 pub(crate) struct SharedStatus {
     ready: AtomicBool,
     metrics: Mutex<String>,
-    /// A state dump was asked for and is not written yet.
-    dump_wanted: AtomicBool,
+    /// A state dump was requested and is not written yet.
+    dump_requested: AtomicBool,
     dump: Mutex<String>,
 }
 
@@ -35,22 +35,22 @@
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Tells whether a dump is wanted.
-    pub(crate) fn wants_dump(&self) -> bool {
-        self.dump_wanted.load(Ordering::Acquire)
+    /// Returns whether a requested dump is still to be written.
+    pub(crate) fn dump_requested(&self) -> bool {
+        self.dump_requested.load(Ordering::Acquire)
     }
 
     pub(crate) fn set_dump(&self, text: String) {
         *self.dump.lock().unwrap_or_else(PoisonError::into_inner) = text;
-        self.dump_wanted.store(false, Ordering::Release);
+        self.dump_requested.store(false, Ordering::Release);
     }
 
-    /// Asks the event loop for a dump and waits for it.
-    fn dump(&self) -> Option<String> {
-        self.dump_wanted.store(true, Ordering::Release);
-        for _ in 0..DUMP_WAITS {
-            std::thread::sleep(DUMP_WAIT);
-            if !self.wants_dump() {
+    /// Requests a dump from the event loop and waits for it; `None` if the loop does not write it in time.
+    fn request_dump(&self) -> Option<String> {
+        self.dump_requested.store(true, Ordering::Release);
+        for _ in 0..DUMP_POLL_LIMIT {
+            std::thread::sleep(DUMP_POLL_INTERVAL);
+            if !self.dump_requested() {
                 return Some(self.dump.lock().unwrap_or_else(PoisonError::into_inner).clone());
             }
         }
@@ -76,8 +76,10 @@
 
     pub(crate) fn observe(&mut self, name: &'static str, micros: u64) {
         if !self.histograms.contains_key(name) {
-            // Two digits keep the quantiles within 1%.
-            let Ok(histogram) = Histogram::new_with_bounds(1, LARGEST_MICROS, 2) else { return };
+            // Two significant digits keep the quantiles accurate to 1%.
+            let Ok(histogram) = Histogram::new_with_bounds(1, MAX_HISTOGRAM_MICROS, 2) else {
+                return;
+            };
             self.histograms.insert(name, histogram);
         }
         if let Some(histogram) = self.histograms.get_mut(name) {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Renders all metrics as text, one a line.
+    /// Renders all metrics as text, one per line, for the metrics page.
     pub(crate) fn publish(&self, status: &SharedStatus, gauges: &[(&str, u64)]) {
         let mut text = String::new();
         for (name, value) in &self.counters {
@@ -108,13 +110,13 @@
     }
 }
 
-/// Serves an address on a thread: `ready_path` answers 200 or 503, `/dump` the state as JSON, everything else is
-/// the metrics page.
+/// Serves an address on a thread of its own: readiness as status 200 or 503 at `ready_path`, the state as JSON at
+/// `/dump`, and the metrics page at any other path.
 ///
 /// # Errors
 ///
 /// Fails if the address cannot be bound.
-pub(crate) fn serve(
+pub(crate) fn serve_http(
     address: SocketAddr,
     ready_path: &'static str,
     status: Arc<SharedStatus>,
@@ -127,9 +129,9 @@
                 let ready = status.ready.load(Ordering::Acquire);
                 Response::from_string("").with_status_code(if ready { 200 } else { 503 })
             } else if request.url() == "/dump" {
-                match status.dump() {
+                match status.request_dump() {
                     Some(dump) => Response::from_string(dump),
-                    None => Response::from_string("the event loop does not answer")
+                    None => Response::from_string("the event loop did not write the dump in time")
                         .with_status_code(503),
                 }
             } else {
@@ -137,7 +139,7 @@
                 Response::from_string(metrics.as_str())
             };
             if let Err(error) = request.respond(response) {
-                // A prober that went away loses only its own answer.
+                // The client closed the connection; no other request is affected.
                 log::debug!("\"event\":\"probe_lost\",\"error\":\"{:?}\"", error.kind());
             }
         }
