--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the processes of this project share around their state machines: the event loop, listening sockets and
-//! the number of a process.
+//! Parts that both programs of this project share: the event loop, listening sockets and the number that identifies
+//! a run of a process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,27 +11,27 @@
 use stakker_mio::mio::net::TcpListener;
 use stakker_mio::mio::{Events, Poll};
 
-/// Longest time that the loop sleeps.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Longest time for which the event loop waits for an event.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 
-/// Events that one poll of the sockets takes.
+/// Maximum number of socket events that one poll returns.
 const EVENT_CAPACITY: usize = 1_024;
 
-/// Clients that may wait to be accepted. With the standard library's 128, clients that reconnect all at once
-/// overflow the queue and wait a second for their next attempt.
+/// Maximum number of connections that wait to be accepted. With the standard library's 128, clients that reconnect
+/// all at once overflow the queue and wait a second before they try again.
 const ACCEPT_BACKLOG: i32 = 4_096;
 
-/// Creates the poll of a loop's sockets.
+/// Creates the poller for the sockets of an event loop.
 ///
 /// # Errors
 ///
-/// Fails if the kernel gives no poll.
+/// Fails if the operating system cannot create the poller.
 pub fn new_poll(stakker: &mut Stakker) -> io::Result<MioPoll> {
     MioPoll::new(stakker, Poll::new()?, Events::with_capacity(EVENT_CAPACITY), 10)
 }
 
-/// Runs a loop until it is shut down, and then ends its main actor. `idle_pending` is what the run before
-/// returned. Returns the cause of a shutdown that was not in order.
+/// Runs an event loop until it is shut down, and then drops its main actor. `idle_pending` is the result of the
+/// preceding `Stakker::run`. Returns the cause of the shutdown, or `None` if it was graceful.
 ///
 /// # Errors
 ///
@@ -39,18 +39,18 @@
 pub fn run_loop<A>(
     stakker: &mut Stakker,
     poll: &MioPoll,
-    hub: ActorOwn<A>,
+    driver: ActorOwn<A>,
     mut idle_pending: bool,
 ) -> io::Result<Option<String>> {
     let mut io_pending = false;
     let mut activity;
     while stakker.not_shutdown() {
-        let wait = stakker.next_wait_max(Instant::now(), MAX_WAIT, idle_pending || io_pending);
+        let wait = stakker.next_wait_max(Instant::now(), MAX_POLL_WAIT, idle_pending || io_pending);
         (activity, io_pending) = poll.poll(wait)?;
         idle_pending = stakker.run(Instant::now(), !activity);
     }
     let cause = stakker.shutdown_reason();
-    drop(hub);
+    drop(driver);
     stakker.run(Instant::now(), false);
     Ok(match cause {
         None | Some(StopCause::Stopped | StopCause::Dropped) => None,
@@ -78,7 +78,7 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Returns the microseconds since 1970, which grow from one start of a process to the next.
+/// Returns a number for this run of the process, larger than those of earlier runs: the microseconds since 1970.
 ///
 /// ```
 /// let first = shell::process_number();
