--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -13,8 +13,8 @@
 /// Largest value of a histogram: one minute, which is longer than any timeout.
 const MAX_HISTOGRAM_MICROS: u64 = 60_000_000;
 
-/// How often, and how many times, a request for a dump checks whether the event loop has written it. The loop
-/// looks for such a request every 20 ms.
+/// A request for a dump checks at this interval, up to [`DUMP_POLL_LIMIT`] times, whether the event loop has written
+/// it. The loop looks for such requests every 20 ms.
 const DUMP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const DUMP_POLL_LIMIT: u32 = 50;
 
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -194,12 +194,15 @@
     /// Starts the threads of the watch and of the registration.
     pub(crate) fn start(client: S, node: Name, events: Channel<GateEvent>) -> Self {
         let standby = Arc::new(AtomicBool::new(true));
-        let (watcher, changes, role) = (client.clone(), events.clone(), standby.clone());
-        thread::spawn(move || watch_store(&watcher, &changes, &role));
+        let (watch_client, watch_events, is_standby) =
+            (client.clone(), events.clone(), standby.clone());
+        thread::spawn(move || watch_store(&watch_client, &watch_events, &is_standby));
         let (commands, receiver) = sync_channel(PUBLISH_QUEUE_CAPACITY);
-        let registrar = client.clone();
-        let renewals = events.clone();
-        thread::spawn(move || maintain_registration(&registrar, &node, &receiver, &renewals));
+        let registration_client = client.clone();
+        let registration_events = events.clone();
+        thread::spawn(move || {
+            maintain_registration(&registration_client, &node, &receiver, &registration_events)
+        });
         StoreThreads { client, events, commands, standby }
     }
 
