--- a/crates/gate/src/takeover.rs
+++ b/crates/gate/src/failover.rs
@@ -29,31 +29,31 @@
 use crate::{Gate, fields};
 
 /// Time after which a change is given up.
-const TAKEOVER_TIME: Micros = Micros::from_millis(6_000);
+const FAILOVER_TIMEOUT: Micros = Micros::from_millis(6_000);
 
 /// The same while the primary still answers and may be able to commit once the fences are lifted.
-const BRIEF_TAKEOVER_TIME: Micros = Micros::from_millis(1_500);
+const RESPONSIVE_PRIMARY_TIMEOUT: Micros = Micros::from_millis(1_500);
 
 /// Time between the first commit that a new replica receives and its entry in the list, with a margin: 22 ms
 /// were seen on the users' bench.
-const LISTING_TIME: Micros = Micros::from_millis(100);
+const LISTING_DELAY: Micros = Micros::from_millis(100);
 
 /// Time for the answer to a demotion before the change goes on without it.
-const DEMOTE_TIME: Micros = Micros::from_millis(250);
+const DEMOTE_TIMEOUT: Micros = Micros::from_millis(250);
 
 /// Pause between fences to the same replica, and between promotion calls.
-pub(crate) const STEP_PAUSE: Micros = Micros::from_millis(250);
+pub(crate) const STEP_RETRY_INTERVAL: Micros = Micros::from_millis(250);
 
 /// Pause before this node tries the same cluster again after it gave up.
-const GIVE_UP_PAUSE: Micros = Micros::from_millis(1_500);
+const FAILOVER_BACKOFF: Micros = Micros::from_millis(1_500);
 
 /// Time that nodes get to acknowledge an announcement before their leases are ended: a watch's event and a
 /// write, each within 10 ms when the store is well.
-const ACKNOWLEDGE_TIME: Micros = Micros::from_millis(60);
+const ACKNOWLEDGE_TIMEOUT: Micros = Micros::from_millis(60);
 
 /// Where a change of primary stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TakeoverStage {
+pub(crate) enum FailoverStage {
     Claiming,
     Listing,
     /// Waits for reports of all replicas.
@@ -71,44 +71,44 @@
     Opening,
 }
 
-impl TakeoverStage {
+impl FailoverStage {
     /// Tells whether the old primary may be demoted already, so that there is no way back.
     pub(crate) const fn is_decided(self) -> bool {
-        matches!(self, TakeoverStage::Demoting | TakeoverStage::Promoting | TakeoverStage::Opening)
+        matches!(self, FailoverStage::Demoting | FailoverStage::Promoting | FailoverStage::Opening)
     }
 
     pub(crate) const fn reads_lists(self) -> bool {
         matches!(
             self,
-            TakeoverStage::Listing | TakeoverStage::Relisting | TakeoverStage::Confirming
+            FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::Confirming
         )
     }
 
     pub(crate) const fn name(self) -> &'static str {
         match self {
-            TakeoverStage::Claiming => "claiming",
-            TakeoverStage::Listing => "listing",
-            TakeoverStage::Probing => "probing",
-            TakeoverStage::Fencing => "fencing",
-            TakeoverStage::Relisting => "relisting",
-            TakeoverStage::Waiting => "waiting",
-            TakeoverStage::Confirming => "confirming",
-            TakeoverStage::Demoting => "demoting",
-            TakeoverStage::Promoting => "promoting",
-            TakeoverStage::Opening => "opening",
+            FailoverStage::Claiming => "claiming",
+            FailoverStage::Listing => "listing",
+            FailoverStage::Probing => "probing",
+            FailoverStage::Fencing => "fencing",
+            FailoverStage::Relisting => "relisting",
+            FailoverStage::Waiting => "waiting",
+            FailoverStage::Confirming => "confirming",
+            FailoverStage::Demoting => "demoting",
+            FailoverStage::Promoting => "promoting",
+            FailoverStage::Opening => "opening",
         }
     }
 }
 
 /// One change of primary that this node carries out.
 #[derive(Debug)]
-pub(crate) struct Takeover {
-    pub(crate) stage: TakeoverStage,
+pub(crate) struct ClusterFailover {
+    pub(crate) stage: FailoverStage,
     pub(crate) old: Option<Name>,
     pub(crate) term: Term,
     pub(crate) started: Micros,
     /// When the last step that needs an answer was taken.
-    pub(crate) stepped: Micros,
+    pub(crate) last_step: Micros,
     pub(crate) in_flight: bool,
     pub(crate) replicas: Vec<Name>,
     pub(crate) fenced: FastMap<Name, DatabaseReport>,
@@ -117,18 +117,18 @@
     /// The replica list is as the store had it after the last fence.
     pub(crate) relisted: bool,
     /// Only lifts fences that another node left behind.
-    pub(crate) lifts: bool,
+    pub(crate) only_lifts_fences: bool,
     /// Revision of the announcement.
     pub(crate) announced: u64,
     /// Nodes whose acknowledgement is missing, and the leases that their permits depend on.
-    pub(crate) unacknowledged: FastMap<Name, LeaseWait>,
+    pub(crate) unacknowledged: FastMap<Name, LeaseRevocation>,
     /// No permit older than the announcement can hold after this.
-    pub(crate) clear_at: Micros,
+    pub(crate) read_leases_expired_at: Micros,
 }
 
 /// How far the end of a node's lease has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LeaseWait {
+pub(crate) enum LeaseRevocation {
     /// To be ended, or asked again.
     Held { lease: u64, asked: Option<Micros> },
     /// Ended; the node's permit runs out.
@@ -137,15 +137,15 @@
 
 /// Changes of primary and what leads to them.
 #[derive(Debug, Default)]
-pub(crate) struct TakeoverState {
-    pub(crate) running: FastMap<Name, Takeover>,
+pub(crate) struct FailoverState {
+    pub(crate) running: FastMap<Name, ClusterFailover>,
     /// Since when the conditions for a change hold, by cluster.
-    pub(crate) due: FastMap<Name, Micros>,
+    pub(crate) due_since: FastMap<Name, Micros>,
     /// Clusters that this node leaves alone until then.
-    pub(crate) paused: FastMap<Name, Micros>,
-    pub(crate) leaderless: FastMap<Name, Micros>,
+    pub(crate) backoff_until: FastMap<Name, Micros>,
+    pub(crate) no_primary_since: FastMap<Name, Micros>,
     /// Since when no replica holds the log that is known to exist.
-    pub(crate) short: FastMap<Name, Micros>,
+    pub(crate) missing_log_since: FastMap<Name, Micros>,
     /// Clusters that this node complains about, and why.
     pub(crate) suspected: FastMap<Name, &'static str>,
 }
@@ -156,10 +156,10 @@
         let now = self.now;
         let (_, record) = self.duty.record();
         let abandoned = !record.changing.is_empty() && !self.duty.is_taken(now);
-        let lifting = self.links.values().any(|link| {
+        let unfence_pending = self.links.values().any(|link| {
             link.pending.iter().any(|pending| pending.purpose == CommandPurpose::Unfence)
         });
-        let write = if self.takeovers.running.is_empty() && !lifting {
+        let write = if self.failovers.running.is_empty() && !unfence_pending {
             if abandoned && self.duty.number(now).is_none() && self.is_steady() {
                 // The announcement of a holder that died is cleared by claiming and releasing.
                 self.duty.claim(now, Vec::new())
@@ -167,7 +167,7 @@
                 self.duty.release(now)
             }
         } else if self.duty.wants_renewal(now) || self.announcement_missing() {
-            let changing = self.takeovers.running.keys().map(ToString::to_string).collect();
+            let changing = self.failovers.running.keys().map(ToString::to_string).collect();
             self.duty.claim(now, changing)
         } else {
             None
@@ -183,68 +183,68 @@
 
     /// Tells whether a change runs that the stored record does not announce.
     fn announcement_missing(&self) -> bool {
-        self.takeovers.running.keys().any(|cluster| !self.duty.announces(self.now, cluster))
+        self.failovers.running.keys().any(|cluster| !self.duty.announces(self.now, cluster))
     }
 
-    pub(crate) fn step_takeover(&mut self, cluster: &Name) {
+    pub(crate) fn step_failover(&mut self, cluster: &Name) {
         let now = self.now;
-        let Some(takeover) = self.takeovers.running.get(cluster) else { return };
-        let (stage, in_flight) = (takeover.stage, takeover.in_flight);
-        let repeat = now >= takeover.stepped + STEP_PAUSE;
-        let limit = if self.old_answers(cluster) && !stage.is_decided() {
-            BRIEF_TAKEOVER_TIME
+        let Some(failover) = self.failovers.running.get(cluster) else { return };
+        let (stage, in_flight) = (failover.stage, failover.in_flight);
+        let repeat = now >= failover.last_step + STEP_RETRY_INTERVAL;
+        let limit = if self.old_primary_responds(cluster) && !stage.is_decided() {
+            RESPONSIVE_PRIMARY_TIMEOUT
         } else {
-            TAKEOVER_TIME
+            FAILOVER_TIMEOUT
         };
-        let calling = in_flight && stage == TakeoverStage::Promoting;
-        if now >= takeover.started + limit && !calling {
-            return self.give_up(cluster, "takes too long");
+        let calling = in_flight && stage == FailoverStage::Promoting;
+        if now >= failover.started + limit && !calling {
+            return self.abort_failover(cluster, "takes too long");
         }
-        if self.is_settled(cluster) {
-            return self.complete(cluster);
+        if self.has_new_primary(cluster) {
+            return self.complete_failover(cluster);
         }
-        if self.duty.number(now).is_none() && stage != TakeoverStage::Claiming {
+        if self.duty.number(now).is_none() && stage != FailoverStage::Claiming {
             // The claim is renewed by `tend_duty`; nothing is done without it.
             if self.duty.is_taken(now) {
-                self.give_up(cluster, "another node holds the duty");
+                self.abort_failover(cluster, "another node holds the duty");
             }
             return;
         }
         match stage {
-            TakeoverStage::Claiming if self.duty.announces(now, cluster) => {
+            FailoverStage::Claiming if self.duty.announces(now, cluster) => {
                 let (revision, _) = self.duty.record();
-                if let Some(takeover) = self.takeovers.running.get_mut(cluster) {
-                    takeover.announced = revision;
+                if let Some(failover) = self.failovers.running.get_mut(cluster) {
+                    failover.announced = revision;
                 }
-                self.set_stage(cluster, TakeoverStage::Listing);
-                self.step_takeover(cluster);
+                self.set_stage(cluster, FailoverStage::Listing);
+                self.step_failover(cluster);
             }
-            TakeoverStage::Claiming if self.duty.is_taken(now) => {
-                self.give_up(cluster, "another node holds the duty");
+            FailoverStage::Claiming if self.duty.is_taken(now) => {
+                self.abort_failover(cluster, "another node holds the duty");
             }
-            TakeoverStage::Claiming => {}
-            TakeoverStage::Listing | TakeoverStage::Relisting | TakeoverStage::Confirming => {
+            FailoverStage::Claiming => {}
+            FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::Confirming => {
                 if !in_flight || repeat {
-                    self.mark_step(cluster);
+                    self.record_step(cluster);
                     self.out.push(GateAction::ReadState);
                 }
             }
-            TakeoverStage::Demoting => {
-                if now >= takeover.stepped + DEMOTE_TIME {
-                    self.choose(cluster);
+            FailoverStage::Demoting => {
+                if now >= failover.last_step + DEMOTE_TIMEOUT {
+                    self.choose_new_primary(cluster);
                 }
             }
-            TakeoverStage::Probing => self.probe_replicas(cluster),
-            TakeoverStage::Fencing => self.fence_replicas(cluster),
-            TakeoverStage::Waiting => self.await_nodes(cluster),
-            TakeoverStage::Promoting => {
+            FailoverStage::Probing => self.probe_replicas(cluster),
+            FailoverStage::Fencing => self.fence_replicas(cluster),
+            FailoverStage::Waiting => self.wait_for_acknowledgements(cluster),
+            FailoverStage::Promoting => {
                 if !in_flight && repeat {
-                    self.call_promote(cluster);
+                    self.send_promote(cluster);
                 }
             }
-            TakeoverStage::Opening => {
+            FailoverStage::Opening => {
                 if repeat && let Some(chosen) = self.chosen(cluster) {
-                    self.mark_step(cluster);
+                    self.record_step(cluster);
                     self.ask_report(&chosen);
                 }
             }
@@ -253,54 +253,54 @@
 
     /// Tells whether the primary to be replaced still answers, so that giving up is better than fences that
     /// keep it from committing.
-    pub(crate) fn old_answers(&self, cluster: &Name) -> bool {
-        let old = self.takeovers.running.get(cluster).and_then(|takeover| takeover.old.as_ref());
+    pub(crate) fn old_primary_responds(&self, cluster: &Name) -> bool {
+        let old = self.failovers.running.get(cluster).and_then(|failover| failover.old.as_ref());
         old.and_then(|old| self.databases.get(old))
             .is_some_and(|database| !database.listed.leaving && database.is_responsive(self.now))
     }
 
     fn chosen(&self, cluster: &Name) -> Option<Name> {
-        self.takeovers.running.get(cluster)?.chosen.clone()
+        self.failovers.running.get(cluster)?.chosen.clone()
     }
 
-    pub(crate) fn set_stage(&mut self, cluster: &Name, stage: TakeoverStage) {
+    pub(crate) fn set_stage(&mut self, cluster: &Name, stage: FailoverStage) {
         let now = self.now;
-        if let Some(takeover) = self.takeovers.running.get_mut(cluster) {
-            takeover.stage = stage;
-            takeover.in_flight = false;
-            takeover.stepped = now;
+        if let Some(failover) = self.failovers.running.get_mut(cluster) {
+            failover.stage = stage;
+            failover.in_flight = false;
+            failover.last_step = now;
         }
         self.log("takeover_stage", fields!["cluster" => cluster, "stage" => stage.name()]);
     }
 
-    fn mark_step(&mut self, cluster: &Name) {
+    fn record_step(&mut self, cluster: &Name) {
         let now = self.now;
-        if let Some(takeover) = self.takeovers.running.get_mut(cluster) {
-            takeover.in_flight = true;
-            takeover.stepped = now;
+        if let Some(failover) = self.failovers.running.get_mut(cluster) {
+            failover.in_flight = true;
+            failover.last_step = now;
         }
     }
 
     /// Tells whether a primary of a newer term reports, whoever made it one.
-    fn is_settled(&self, cluster: &Name) -> bool {
-        let (Some(takeover), Some(state)) =
-            (self.takeovers.running.get(cluster), self.clusters.get(cluster))
+    fn has_new_primary(&self, cluster: &Name) -> bool {
+        let (Some(failover), Some(state)) =
+            (self.failovers.running.get(cluster), self.clusters.get(cluster))
         else {
             return false;
         };
         let evidence = &state.evidence;
         evidence.leader().is_some()
-            && evidence.leader() != takeover.old.as_ref()
-            && evidence.term() >= takeover.term
+            && evidence.leader() != failover.old.as_ref()
+            && evidence.term() >= failover.term
     }
 
     /// Takes in the state that the store had when it was asked.
     pub(crate) fn state_read(&mut self, state: Option<StoreState>) {
-        let clusters: Vec<Name> = self.takeovers.running.keys().cloned().collect();
+        let clusters: Vec<Name> = self.failovers.running.keys().cloned().collect();
         let Some(StoreState { databases, documents }) = state else {
-            for takeover in self.takeovers.running.values_mut() {
-                if takeover.stage.reads_lists() {
-                    takeover.in_flight = false;
+            for failover in self.failovers.running.values_mut() {
+                if failover.stage.reads_lists() {
+                    failover.in_flight = false;
                 }
             }
             return;
@@ -311,72 +311,75 @@
             }
         }
         for cluster in clusters {
-            let Some(takeover) = self.takeovers.running.get_mut(&cluster) else { continue };
-            if !takeover.stage.reads_lists() || !takeover.in_flight {
+            let Some(failover) = self.failovers.running.get_mut(&cluster) else { continue };
+            if !failover.stage.reads_lists() || !failover.in_flight {
                 continue;
             }
             let mut replicas: Vec<Name> = databases
                 .iter()
                 .filter(|listed| listed.cluster == cluster)
                 .map(|listed| listed.id.clone())
-                .filter(|name| Some(name) != takeover.old.as_ref())
+                .filter(|name| Some(name) != failover.old.as_ref())
                 .collect();
             // An entry may lapse while its database lives and holds the only copy of a commit. Such a one has
             // to be fenced until it is given up.
             if let Some(state) = self.clusters.get(&cluster) {
                 let known = state.members.iter().filter(|name| {
-                    Some(*name) != takeover.old.as_ref() && !replicas.contains(name)
+                    Some(*name) != failover.old.as_ref() && !replicas.contains(name)
                 });
                 let known: Vec<Name> = known.cloned().collect();
                 replicas.extend(known);
             }
-            let stage = takeover.stage;
-            takeover.relisted = stage == TakeoverStage::Relisting;
-            if takeover.relisted {
-                takeover.unacknowledged =
-                    missing_nodes(&documents, &self.settings.node, takeover.announced);
+            let stage = failover.stage;
+            failover.relisted = stage == FailoverStage::Relisting;
+            if failover.relisted {
+                failover.unacknowledged =
+                    unacknowledged_nodes(&documents, &self.settings.node, failover.announced);
                 let departed = self.roster.departed().unwrap_or(self.started);
-                takeover.clear_at = departed.max(self.started) + PERMIT_TIME;
+                failover.read_leases_expired_at = departed.max(self.started) + PERMIT_TIME;
             }
-            takeover.replicas = replicas;
-            if takeover.lifts {
+            failover.replicas = replicas;
+            if failover.only_lifts_fences {
                 self.lift_fences(&cluster);
                 continue;
             }
-            let fenced = takeover.replicas.iter().all(|name| takeover.fenced.contains_key(name));
+            let fenced = failover.replicas.iter().all(|name| failover.fenced.contains_key(name));
             match stage {
-                TakeoverStage::Listing => self.set_stage(&cluster, TakeoverStage::Probing),
-                TakeoverStage::Confirming if fenced => {
+                FailoverStage::Listing => self.set_stage(&cluster, FailoverStage::Probing),
+                FailoverStage::Confirming if fenced => {
                     self.demote_old(&cluster);
                     continue;
                 }
-                _ => self.set_stage(&cluster, TakeoverStage::Fencing),
+                _ => self.set_stage(&cluster, FailoverStage::Fencing),
             }
-            self.step_takeover(&cluster);
+            self.step_failover(&cluster);
         }
     }
 
     /// Waits until no node can rely on a permit from before the announcement.
-    fn await_nodes(&mut self, cluster: &Name) {
+    fn wait_for_acknowledgements(&mut self, cluster: &Name) {
         let now = self.now;
-        let Some(takeover) = self.takeovers.running.get_mut(cluster) else { return };
-        let (announced, roster) = (takeover.announced, &self.roster);
-        takeover
-            .unacknowledged
-            .retain(|node, wait| *wait == LeaseWait::Ended || !roster.has_seen(node, announced));
+        let Some(failover) = self.failovers.running.get_mut(cluster) else { return };
+        let (announced, roster) = (failover.announced, &self.roster);
+        failover.unacknowledged.retain(|node, wait| {
+            *wait == LeaseRevocation::Ended || !roster.has_seen(node, announced)
+        });
         let mut ends = Vec::new();
-        for (node, wait) in &mut takeover.unacknowledged {
-            if let LeaseWait::Held { lease, asked } = wait
-                && now >= takeover.stepped + ACKNOWLEDGE_TIME
-                && asked.is_none_or(|at| now >= at + STEP_PAUSE)
+        for (node, wait) in &mut failover.unacknowledged {
+            if let LeaseRevocation::Held { lease, asked } = wait
+                && now >= failover.last_step + ACKNOWLEDGE_TIMEOUT
+                && asked.is_none_or(|at| now >= at + STEP_RETRY_INTERVAL)
             {
                 *asked = Some(now);
                 ends.push(GateAction::EndLease { node: node.clone(), lease: *lease });
             }
         }
-        let all_ended = takeover.unacknowledged.values().all(|wait| *wait == LeaseWait::Ended);
-        if all_ended && now >= takeover.clear_at.max(takeover.stepped + LISTING_TIME) {
-            return self.set_stage(cluster, TakeoverStage::Confirming);
+        let all_ended =
+            failover.unacknowledged.values().all(|wait| *wait == LeaseRevocation::Ended);
+        if all_ended
+            && now >= failover.read_leases_expired_at.max(failover.last_step + LISTING_DELAY)
+        {
+            return self.set_stage(cluster, FailoverStage::Confirming);
         }
         self.out.append(&mut ends);
     }
@@ -385,22 +388,23 @@
     pub(crate) fn lease_ended(&mut self, node: &Name, ended: bool) {
         let now = self.now;
         self.log("lease_ended", fields!["node" => node, "ended" => ended]);
-        for takeover in self.takeovers.running.values_mut() {
-            if ended && let Some(wait) = takeover.unacknowledged.get_mut(node) {
-                *wait = LeaseWait::Ended;
-                takeover.clear_at = takeover.clear_at.max(now + PERMIT_TIME);
+        for failover in self.failovers.running.values_mut() {
+            if ended && let Some(wait) = failover.unacknowledged.get_mut(node) {
+                *wait = LeaseRevocation::Ended;
+                failover.read_leases_expired_at =
+                    failover.read_leases_expired_at.max(now + PERMIT_TIME);
             }
         }
     }
 
     /// Names the new primary.
-    pub(crate) fn choose(&mut self, cluster: &Name) {
-        let best = self.longest(cluster);
+    pub(crate) fn choose_new_primary(&mut self, cluster: &Name) {
+        let best = self.longest_fenced_log(cluster);
         let Some((name, position)) = best else {
-            return self.give_up(cluster, "no replica is fenced");
+            return self.abort_failover(cluster, "no replica is fenced");
         };
-        if let Some(takeover) = self.takeovers.running.get_mut(cluster) {
-            takeover.chosen = Some(name.clone());
+        if let Some(failover) = self.failovers.running.get_mut(cluster) {
+            failover.chosen = Some(name.clone());
         }
         self.log(
             "takeover_chosen",
@@ -410,15 +414,15 @@
                 "position" => position.to_string()
             ],
         );
-        self.set_stage(cluster, TakeoverStage::Promoting);
-        self.call_promote(cluster);
+        self.set_stage(cluster, FailoverStage::Promoting);
+        self.send_promote(cluster);
     }
 
-    fn call_promote(&mut self, cluster: &Name) {
+    fn send_promote(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(number) = self.duty.number(now) else { return };
         let Some(database) = self.chosen(cluster) else { return };
-        self.mark_step(cluster);
+        self.record_step(cluster);
         self.log(
             "promote_sent",
             fields!["cluster" => cluster, "database" => &database, "number" => number],
@@ -438,24 +442,24 @@
             PromoteResult::Failed => "failed",
         };
         self.log("promote_answered", fields!["cluster" => cluster, "outcome" => outcome]);
-        let Some(takeover) = self.takeovers.running.get_mut(cluster) else { return };
-        takeover.in_flight = false;
+        let Some(failover) = self.failovers.running.get_mut(cluster) else { return };
+        failover.in_flight = false;
         match result {
-            PromoteResult::Accepted => self.set_stage(cluster, TakeoverStage::Opening),
+            PromoteResult::Accepted => self.set_stage(cluster, FailoverStage::Opening),
             PromoteResult::Failed => {}
             PromoteResult::Rejected => {
-                takeover.fenced.clear();
-                self.set_stage(cluster, TakeoverStage::Listing);
+                failover.fenced.clear();
+                self.set_stage(cluster, FailoverStage::Listing);
             }
         }
     }
 
-    fn complete(&mut self, cluster: &Name) {
-        let Some(takeover) = self.takeovers.running.remove(cluster) else { return };
+    fn complete_failover(&mut self, cluster: &Name) {
+        let Some(failover) = self.failovers.running.remove(cluster) else { return };
         let Some(state) = self.clusters.get(cluster) else { return };
         let term = state.evidence.term();
         let leader = state.evidence.leader().cloned().unwrap_or_default();
-        let took = self.now.saturating_sub(takeover.started);
+        let took = self.now.saturating_sub(failover.started);
         self.count("takeovers_completed");
         self.log(
             "takeover_completed",
@@ -466,47 +470,47 @@
                 "took_ms" => took.as_millis()
             ],
         );
-        self.takeovers.due.remove(cluster);
-        self.takeovers.short.remove(cluster);
-        if let Some(old) = takeover.old
+        self.failovers.due_since.remove(cluster);
+        self.failovers.missing_log_since.remove(cluster);
+        if let Some(old) = failover.old
             && let Some(link) = self.control_link(&old)
         {
             self.send(link, vec![BackendCommand::Demote { term }], CommandPurpose::Control);
         }
     }
 
-    pub(crate) fn give_up(&mut self, cluster: &Name, reason: &'static str) {
+    pub(crate) fn abort_failover(&mut self, cluster: &Name, reason: &'static str) {
         let now = self.now;
-        let Some(takeover) = self.takeovers.running.remove(cluster) else { return };
+        let Some(failover) = self.failovers.running.remove(cluster) else { return };
         self.count("takeovers_given_up");
         self.log(
             "takeover_given_up",
-            fields!["cluster" => cluster, "stage" => takeover.stage.name(), "reason" => reason],
+            fields!["cluster" => cluster, "stage" => failover.stage.name(), "reason" => reason],
         );
-        self.takeovers.due.remove(cluster);
-        self.takeovers.paused.insert(cluster.clone(), now + GIVE_UP_PAUSE);
-        if takeover.stage.is_decided() {
+        self.failovers.due_since.remove(cluster);
+        self.failovers.backoff_until.insert(cluster.clone(), now + FAILOVER_BACKOFF);
+        if failover.stage.is_decided() {
             return;
         }
-        for name in takeover.fenced.keys() {
+        for name in failover.fenced.keys() {
             self.unfence(name);
         }
     }
 }
 
 /// Returns the nodes that are registered and have not acknowledged an announcement.
-fn missing_nodes(
+fn unacknowledged_nodes(
     documents: &[StoredDocument],
     own: &Name,
     announced: u64,
-) -> FastMap<Name, LeaseWait> {
+) -> FastMap<Name, LeaseRevocation> {
     let mut missing = FastMap::default();
     for stored in documents {
         let Document::Node(NodeRole::Owner, node) = &stored.document else { continue };
         // One that cannot be read has acknowledged nothing.
         let record: NodeRecord = serde_json::from_slice(&stored.bytes).unwrap_or_default();
         if node != own && record.seen < announced {
-            let wait = LeaseWait::Held { lease: stored.lease, asked: None };
+            let wait = LeaseRevocation::Held { lease: stored.lease, asked: None };
             missing.insert(node.clone(), wait);
         }
     }
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -5,31 +5,31 @@
 use crate::backend::{BackendAnswer, BackendCommand, LogPoint};
 use crate::database::CommandPurpose;
 use crate::event::LinkId;
-use crate::takeover::{STEP_PAUSE, TakeoverStage};
+use crate::failover::{FailoverStage, STEP_RETRY_INTERVAL};
 use crate::{Gate, fields};
 
 /// Time that a change waits for a database with the known log to come back. Crashed databases return with
 /// their log; one that stays away longer is given up with what it held.
-const SHORT_LOG_TIME: Micros = Micros::from_millis(9_000);
+const MISSING_LOG_TIMEOUT: Micros = Micros::from_millis(9_000);
 
 /// Time that replicas get to report before they are fenced: an opened connection and a queue.
-const PROBE_TIME: Micros = Micros::from_millis(500);
+const PROBE_TIMEOUT: Micros = Micros::from_millis(500);
 
 impl Gate {
     /// Demotes the old primary before its successor is named, if it answers.
     pub(crate) fn demote_old(&mut self, cluster: &Name) {
-        if self.too_short(cluster) {
-            return self.give_up(cluster, "no replica holds the known log");
+        if self.waits_for_missing_log(cluster) {
+            return self.abort_failover(cluster, "no replica holds the known log");
         }
-        let Some(takeover) = self.takeovers.running.get(cluster) else { return };
-        let (old, term) = (takeover.old.clone(), takeover.term);
+        let Some(failover) = self.failovers.running.get(cluster) else { return };
+        let (old, term) = (failover.old.clone(), failover.term);
         let answers = old
             .as_ref()
             .and_then(|old| self.databases.get(old))
             .is_some_and(|old| old.is_responsive(self.now));
         let link = old.filter(|_| answers).and_then(|old| self.control_link(&old));
-        let Some(link) = link else { return self.choose(cluster) };
-        self.set_stage(cluster, TakeoverStage::Demoting);
+        let Some(link) = link else { return self.choose_new_primary(cluster) };
+        self.set_stage(cluster, FailoverStage::Demoting);
         self.send(link, vec![BackendCommand::Demote { term }], CommandPurpose::Demote);
     }
 
@@ -42,20 +42,20 @@
             "demote_answered",
             fields!["database" => &name, "position" => position.unwrap_or_default()],
         );
-        let waits = self.takeovers.running.get(&cluster).is_some_and(|takeover| {
-            takeover.stage == TakeoverStage::Demoting && takeover.old.as_ref() == Some(&name)
+        let waits = self.failovers.running.get(&cluster).is_some_and(|failover| {
+            failover.stage == FailoverStage::Demoting && failover.old.as_ref() == Some(&name)
         });
         if waits {
-            self.choose(&cluster);
+            self.choose_new_primary(&cluster);
         }
     }
 
     /// Waits until every replica has reported since the change started.
     pub(crate) fn probe_replicas(&mut self, cluster: &Name) {
         let now = self.now;
-        let Some(takeover) = self.takeovers.running.get(cluster) else { return };
-        let (replicas, started, stepped) =
-            (takeover.replicas.clone(), takeover.started, takeover.stepped);
+        let Some(failover) = self.failovers.running.get(cluster) else { return };
+        let (replicas, started, last_step) =
+            (failover.replicas.clone(), failover.started, failover.last_step);
         let mut missing = 0;
         for name in &replicas {
             let Some(database) = self.databases.get(name) else { continue };
@@ -68,10 +68,10 @@
             }
         }
         if missing == 0 {
-            self.set_stage(cluster, TakeoverStage::Fencing);
-            self.step_takeover(cluster);
-        } else if now >= stepped + PROBE_TIME {
-            self.give_up(cluster, "a replica does not answer");
+            self.set_stage(cluster, FailoverStage::Fencing);
+            self.step_failover(cluster);
+        } else if now >= last_step + PROBE_TIMEOUT {
+            self.abort_failover(cluster, "a replica does not answer");
         }
     }
 
@@ -81,8 +81,8 @@
         for name in state.evidence.fenced_replicas() {
             self.unfence(&name);
         }
-        self.takeovers.running.remove(cluster);
-        self.takeovers.due.remove(cluster);
+        self.failovers.running.remove(cluster);
+        self.failovers.due_since.remove(cluster);
         self.log("fences_lifted", fields!["cluster" => cluster]);
         self.ask_all(cluster);
     }
@@ -95,26 +95,28 @@
 
     pub(crate) fn fence_replicas(&mut self, cluster: &Name) {
         let now = self.now;
-        let Some(takeover) = self.takeovers.running.get_mut(cluster) else { return };
-        let term = takeover.term;
-        let missing: Vec<Name> = takeover
+        let Some(failover) = self.failovers.running.get_mut(cluster) else { return };
+        let term = failover.term;
+        let missing: Vec<Name> = failover
             .replicas
             .iter()
-            .filter(|name| !takeover.fenced.contains_key(*name))
+            .filter(|name| !failover.fenced.contains_key(*name))
             .cloned()
             .collect();
         if missing.is_empty() {
-            if takeover.replicas.is_empty() {
-                return self.give_up(cluster, "no replica is listed");
+            if failover.replicas.is_empty() {
+                return self.abort_failover(cluster, "no replica is listed");
             }
-            if takeover.relisted {
-                return self.set_stage(cluster, TakeoverStage::Waiting);
+            if failover.relisted {
+                return self.set_stage(cluster, FailoverStage::Waiting);
             }
-            return self.set_stage(cluster, TakeoverStage::Relisting);
+            return self.set_stage(cluster, FailoverStage::Relisting);
         }
         let due: Vec<Name> = missing
             .into_iter()
-            .filter(|name| takeover.asked.get(name).is_none_or(|at| now >= *at + STEP_PAUSE))
+            .filter(|name| {
+                failover.asked.get(name).is_none_or(|at| now >= *at + STEP_RETRY_INTERVAL)
+            })
             .collect();
         let mut asked = false;
         for name in due {
@@ -126,19 +128,18 @@
                 continue;
             };
             self.send(link, vec![BackendCommand::Fence { term }], CommandPurpose::Fence);
-            if let Some(takeover) = self.takeovers.running.get_mut(cluster) {
-                takeover.asked.insert(name, now);
+            if let Some(failover) = self.failovers.running.get_mut(cluster) {
+                failover.asked.insert(name, now);
             }
             asked = true;
         }
         // A replica that does not answer may be gone; the list tells.
-        let repeat = self
-            .takeovers
-            .running
-            .get(cluster)
-            .is_some_and(|takeover| now >= takeover.stepped + Micros(STEP_PAUSE.0 * 4));
+        let repeat =
+            self.failovers.running.get(cluster).is_some_and(|failover| {
+                now >= failover.last_step + Micros(STEP_RETRY_INTERVAL.0 * 4)
+            });
         if !asked && repeat {
-            self.set_stage(cluster, TakeoverStage::Listing);
+            self.set_stage(cluster, FailoverStage::Listing);
         }
     }
 
@@ -146,15 +147,15 @@
     pub(crate) fn fence_answered(&mut self, link: LinkId, sent: Micros, answer: &BackendAnswer) {
         let Some(state) = self.links.get(&link) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
-        let Some(takeover) = self.takeovers.running.get_mut(&cluster) else { return };
+        let Some(failover) = self.failovers.running.get_mut(&cluster) else { return };
         let Some(report) = answer.report else {
             let text = format!("{:?}", answer.end);
             return self.log("fence_failed", fields!["database" => &name, "answer" => text]);
         };
-        let term = takeover.term;
+        let term = failover.term;
         let fenced = report.fence >= term && report.role == DatabaseRole::Replica;
         if fenced {
-            takeover.fenced.insert(name.clone(), report);
+            failover.fenced.insert(name.clone(), report);
         }
         self.log(
             "fence_answered",
@@ -168,27 +169,27 @@
             ],
         );
         if report.role == DatabaseRole::Primary && report.term.next() == term {
-            return self.give_up(&cluster, "the primary answers");
+            return self.abort_failover(&cluster, "the primary answers");
         }
         if report.fence > term
-            && let Some(takeover) = self.takeovers.running.get_mut(&cluster)
+            && let Some(failover) = self.failovers.running.get_mut(&cluster)
         {
-            takeover.term = report.fence;
-            takeover.fenced.clear();
+            failover.term = report.fence;
+            failover.fenced.clear();
         }
         if let Some(state) = self.clusters.get_mut(&cluster) {
             state.evidence.report(&name, sent, &report);
         }
-        self.step_takeover(&cluster);
+        self.step_failover(&cluster);
     }
 
     /// Returns the fenced replica with the longest log; among equals one that stays.
-    pub(crate) fn longest(&self, cluster: &Name) -> Option<(Name, LogPoint)> {
-        let takeover = self.takeovers.running.get(cluster)?;
-        takeover
+    pub(crate) fn longest_fenced_log(&self, cluster: &Name) -> Option<(Name, LogPoint)> {
+        let failover = self.failovers.running.get(cluster)?;
+        failover
             .fenced
             .iter()
-            .filter(|(name, _)| takeover.replicas.contains(name))
+            .filter(|(name, _)| failover.replicas.contains(name))
             .max_by_key(|(name, report)| {
                 let database = self.databases.get(*name);
                 let stays = database.is_some_and(|database| {
@@ -201,15 +202,15 @@
 
     /// Tells whether every fenced replica lacks a part of the log that is known to exist, and one that holds
     /// it may come back.
-    pub(crate) fn too_short(&mut self, cluster: &Name) -> bool {
-        let Some((name, position)) = self.longest(cluster) else { return true };
+    pub(crate) fn waits_for_missing_log(&mut self, cluster: &Name) -> bool {
+        let Some((name, position)) = self.longest_fenced_log(cluster) else { return true };
         let known = self.clusters.get(cluster).map(|state| state.evidence.held());
         let known = known.unwrap_or_default();
         if position >= known {
             return false;
         }
-        let since = *self.takeovers.short.entry(cluster.clone()).or_insert(self.now);
-        let waits = self.now < since + SHORT_LOG_TIME || self.old_answers(cluster);
+        let since = *self.failovers.missing_log_since.entry(cluster.clone()).or_insert(self.now);
+        let waits = self.now < since + MISSING_LOG_TIMEOUT || self.old_primary_responds(cluster);
         self.log(
             "log_too_short",
             fields![
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -19,6 +19,7 @@
 mod duty;
 mod event;
 mod evidence;
+mod failover;
 mod fencing;
 mod fleet;
 mod link;
@@ -34,7 +35,6 @@
 mod settings;
 mod statement;
 mod suspicion;
-mod takeover;
 mod work;
 
 use model::{FastMap, FastSet, Micros, Name};
@@ -61,6 +61,7 @@
 use cluster::ClusterState;
 use database::{Database, Link};
 use drain::DrainState;
+use failover::FailoverState;
 use fleet::FleetState;
 use peer::PeerState;
 use permit::PermitState;
@@ -68,7 +69,6 @@
 use registration::RegistrationState;
 use roster::NodeRoster;
 use session::Session;
-use takeover::TakeoverState;
 use work::{Work, WorkId};
 
 /// Builds the fields of a log line.
@@ -102,7 +102,7 @@
     roster: NodeRoster,
     duty: DutyState,
     registration: RegistrationState,
-    takeovers: TakeoverState,
+    failovers: FailoverState,
     drain: DrainState,
     ready: ReadyState,
     permit: PermitState,
@@ -145,7 +145,7 @@
             databases: FastMap::default(),
             links: FastMap::default(),
             registration: RegistrationState::default(),
-            takeovers: TakeoverState::default(),
+            failovers: FailoverState::default(),
             drain: DrainState::default(),
             ready: ReadyState::default(),
             permit: PermitState::default(),
@@ -219,7 +219,7 @@
         self.tend_clusters();
         self.remove_unlisted();
         self.end_idle_transactions();
-        self.tend_takeovers();
+        self.maintain_failovers();
         self.tend_drain();
         self.update_ready();
     }
@@ -324,7 +324,7 @@
         let number = self.duty.number(self.now).unwrap_or_default();
         self.log("duty_written", fields!["held" => held, "number" => number]);
         self.announcement_seen();
-        self.tend_takeovers();
+        self.maintain_failovers();
     }
 
     fn next_id(&mut self) -> u64 {
--- a/crates/gate/src/link.rs
+++ b/crates/gate/src/link.rs
@@ -310,7 +310,7 @@
             }
             CommandPurpose::Report => {
                 self.report_answered(link, pending.sent, &answer);
-                self.step_takeover(&cluster);
+                self.step_failover(&cluster);
             }
             CommandPurpose::Fence => self.fence_answered(link, pending.sent, &answer),
             CommandPurpose::Demote => self.demote_answered(link, &answer),
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -5,7 +5,7 @@
 
 use model::{DatabaseRole, FastMap, Micros, Name};
 
-use crate::takeover::{Takeover, TakeoverStage};
+use crate::failover::{ClusterFailover, FailoverStage};
 use crate::{Gate, fields};
 
 /// Silence of a primary after which a node complains: above the longest queue seen at a database, below
@@ -58,7 +58,7 @@
             return None;
         }
         let Some(leader) = leader else {
-            let since = *self.takeovers.leaderless.entry(cluster.clone()).or_insert(now);
+            let since = *self.failovers.no_primary_since.entry(cluster.clone()).or_insert(now);
             let claimed = state.members.iter().any(|name| {
                 self.databases.get(name).is_some_and(|database| {
                     database.listed.claimed_role == Some(DatabaseRole::Primary)
@@ -68,7 +68,7 @@
             let limit = if claimed { UNREPORTED } else { LEADERLESS };
             return (now >= since + limit).then_some("no primary");
         };
-        self.takeovers.leaderless.remove(cluster);
+        self.failovers.no_primary_since.remove(cluster);
         let Some(database) = self.databases.get(&leader) else { return Some("primary gone") };
         if database.silent_since().is_some_and(|since| now >= since + SILENCE) {
             return Some("primary silent");
@@ -106,7 +106,7 @@
 
     /// Tells whether replicas are fenced although no change is announced, as after the death of the node that
     /// fenced them.
-    pub(crate) fn left_fenced(&self, cluster: &Name) -> bool {
+    pub(crate) fn has_stale_fences(&self, cluster: &Name) -> bool {
         let Some(state) = self.clusters.get(cluster) else { return false };
         let since = state.evidence.fenced_since();
         since.is_some_and(|since| self.now >= since + LEFT_FENCED)
@@ -115,7 +115,7 @@
     }
 
     /// Tells whether a cluster's primary is leaving and another database can replace it.
-    pub(crate) fn leaving_primary(&self, cluster: &Name) -> bool {
+    pub(crate) fn can_replace_leaving_primary(&self, cluster: &Name) -> bool {
         let Some(state) = self.clusters.get(cluster) else { return false };
         let Some(leader) = state.evidence.leader() else { return false };
         let leaving = self.databases.get(leader).is_some_and(|database| database.listed.leaving);
@@ -129,43 +129,47 @@
     }
 
     /// Publishes complaints, starts changes that are due, and moves on those that run.
-    pub(crate) fn tend_takeovers(&mut self) {
+    pub(crate) fn maintain_failovers(&mut self) {
         let clusters: Vec<Name> = self.clusters.keys().cloned().collect();
         let mut complaints = BTreeSet::new();
         for cluster in &clusters {
             self.check_complaint(cluster);
             let complaint = self.complaint(cluster);
             if let Some(reason) = complaint {
-                if self.takeovers.suspected.insert(cluster.clone(), reason) != Some(reason) {
+                if self.failovers.suspected.insert(cluster.clone(), reason) != Some(reason) {
                     let record = fields!["cluster" => cluster, "reason" => reason];
                     self.log("primary_suspected", record);
                 }
                 complaints.insert(cluster.to_string());
             } else {
-                self.takeovers.suspected.remove(cluster);
+                self.failovers.suspected.remove(cluster);
             }
-            self.start_if_due(cluster, complaint);
+            self.start_failover_if_due(cluster, complaint);
         }
         self.tend_registration(complaints);
         for cluster in clusters {
-            self.step_takeover(&cluster);
+            self.step_failover(&cluster);
         }
         self.tend_duty();
     }
 
-    pub(crate) fn start_if_due(&mut self, cluster: &Name, complaint: Option<&'static str>) {
+    pub(crate) fn start_failover_if_due(
+        &mut self,
+        cluster: &Name,
+        complaint: Option<&'static str>,
+    ) {
         let now = self.now;
-        if self.takeovers.running.contains_key(cluster)
-            || self.takeovers.paused.get(cluster).is_some_and(|until| now < *until)
+        if self.failovers.running.contains_key(cluster)
+            || self.failovers.backoff_until.get(cluster).is_some_and(|until| now < *until)
             || self.drain.since.is_some()
             || !self.knows_list()
         {
             return;
         }
-        let lifts = self.left_fenced(cluster) && complaint.is_none();
-        let (reason, place) = if lifts {
+        let only_lifts_fences = self.has_stale_fences(cluster) && complaint.is_none();
+        let (reason, place) = if only_lifts_fences {
             ("fences left", self.owner_place(cluster))
-        } else if self.leaving_primary(cluster) {
+        } else if self.can_replace_leaving_primary(cluster) {
             ("primary leaving", self.owner_place(cluster))
         } else if let Some(reason) = complaint {
             let nodes = self.roster.complaining(cluster);
@@ -174,15 +178,15 @@
             match place {
                 Some(place) if nodes.len() >= needed => (reason, place as u64),
                 _ => {
-                    self.takeovers.due.remove(cluster);
+                    self.failovers.due_since.remove(cluster);
                     return;
                 }
             }
         } else {
-            self.takeovers.due.remove(cluster);
+            self.failovers.due_since.remove(cluster);
             return;
         };
-        let due = *self.takeovers.due.entry(cluster.clone()).or_insert(now);
+        let due = *self.failovers.due_since.entry(cluster.clone()).or_insert(now);
         // Nobody else can act while this node holds the duty.
         let place = if self.duty.number(now).is_some() { 0 } else { place };
         if now < due + Micros(STAGGER.0 * place) || self.duty.is_taken(now) {
@@ -208,24 +212,24 @@
             ],
         );
         self.count("takeovers_started");
-        self.takeovers.running.insert(
+        self.failovers.running.insert(
             cluster.clone(),
-            Takeover {
-                stage: TakeoverStage::Claiming,
+            ClusterFailover {
+                stage: FailoverStage::Claiming,
                 old,
                 term,
                 started: now,
-                stepped: now,
+                last_step: now,
                 in_flight: false,
                 replicas: Vec::new(),
                 fenced: FastMap::default(),
                 asked: FastMap::default(),
                 chosen: None,
                 relisted: false,
-                lifts,
+                only_lifts_fences,
                 announced: 0,
                 unacknowledged: FastMap::default(),
-                clear_at: now,
+                read_leases_expired_at: now,
             },
         );
     }
