--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -20,7 +20,7 @@
     /// ```
     pub fn dump(&self) -> Value {
         let now = self.now;
-        let (duty_revision, duty) = self.duty.record();
+        let (lease_revision, lease) = self.promotion_lease.record();
         let clusters: Vec<Value> = self
             .clusters
             .iter()
@@ -69,8 +69,8 @@
             "nodes": self.roster.live(),
             "permit_held": self.permit().is_some(),
             "draining": self.drain.since.is_some(),
-            "duty": { "revision": duty_revision, "holder": duty.holder, "number": duty.number,
-                "idle": duty.idle },
+            "duty": { "revision": lease_revision, "holder": lease.holder,
+                "number": lease.fencing_token, "idle": lease.idle },
             "clusters": clusters,
             "databases": databases,
         })
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -152,23 +152,23 @@
 
 impl Gate {
     /// Renews the duty while changes run, and gives it up after the last.
-    pub(crate) fn tend_duty(&mut self) {
+    pub(crate) fn maintain_promotion_lease(&mut self) {
         let now = self.now;
-        let (_, record) = self.duty.record();
-        let abandoned = !record.changing.is_empty() && !self.duty.is_taken(now);
+        let (_, record) = self.promotion_lease.record();
+        let abandoned = !record.changing.is_empty() && !self.promotion_lease.is_held_elsewhere(now);
         let unfence_pending = self.links.values().any(|link| {
             link.pending.iter().any(|pending| pending.purpose == CommandPurpose::Unfence)
         });
         let write = if self.failovers.running.is_empty() && !unfence_pending {
-            if abandoned && self.duty.number(now).is_none() && self.is_steady() {
+            if abandoned && self.promotion_lease.fencing_token(now).is_none() && self.is_steady() {
                 // The announcement of a holder that died is cleared by claiming and releasing.
-                self.duty.claim(now, Vec::new())
+                self.promotion_lease.claim(now, Vec::new())
             } else {
-                self.duty.release(now)
+                self.promotion_lease.release(now)
             }
-        } else if self.duty.wants_renewal(now) || self.announcement_missing() {
+        } else if self.promotion_lease.needs_renewal(now) || self.announcement_missing() {
             let changing = self.failovers.running.keys().map(ToString::to_string).collect();
-            self.duty.claim(now, changing)
+            self.promotion_lease.claim(now, changing)
         } else {
             None
         };
@@ -183,7 +183,10 @@
 
     /// Tells whether a change runs that the stored record does not announce.
     fn announcement_missing(&self) -> bool {
-        self.failovers.running.keys().any(|cluster| !self.duty.announces(self.now, cluster))
+        self.failovers
+            .running
+            .keys()
+            .any(|cluster| !self.promotion_lease.announces(self.now, cluster))
     }
 
     pub(crate) fn step_failover(&mut self, cluster: &Name) {
@@ -203,23 +206,23 @@
         if self.has_new_primary(cluster) {
             return self.complete_failover(cluster);
         }
-        if self.duty.number(now).is_none() && stage != FailoverStage::Claiming {
-            // The claim is renewed by `tend_duty`; nothing is done without it.
-            if self.duty.is_taken(now) {
+        if self.promotion_lease.fencing_token(now).is_none() && stage != FailoverStage::Claiming {
+            // The claim is renewed by `maintain_promotion_lease`; nothing is done without it.
+            if self.promotion_lease.is_held_elsewhere(now) {
                 self.abort_failover(cluster, "another node holds the duty");
             }
             return;
         }
         match stage {
-            FailoverStage::Claiming if self.duty.announces(now, cluster) => {
-                let (revision, _) = self.duty.record();
+            FailoverStage::Claiming if self.promotion_lease.announces(now, cluster) => {
+                let (revision, _) = self.promotion_lease.record();
                 if let Some(failover) = self.failovers.running.get_mut(cluster) {
                     failover.announced = revision;
                 }
                 self.set_stage(cluster, FailoverStage::Listing);
                 self.step_failover(cluster);
             }
-            FailoverStage::Claiming if self.duty.is_taken(now) => {
+            FailoverStage::Claiming if self.promotion_lease.is_held_elsewhere(now) => {
                 self.abort_failover(cluster, "another node holds the duty");
             }
             FailoverStage::Claiming => {}
@@ -420,18 +423,18 @@
 
     fn send_promote(&mut self, cluster: &Name) {
         let now = self.now;
-        let Some(number) = self.duty.number(now) else { return };
+        let Some(token) = self.promotion_lease.fencing_token(now) else { return };
         let Some(database) = self.chosen(cluster) else { return };
         self.record_step(cluster);
         self.log(
             "promote_sent",
-            fields!["cluster" => cluster, "database" => &database, "number" => number],
+            fields!["cluster" => cluster, "database" => &database, "number" => token],
         );
         self.out.push(GateAction::Promote {
             cluster: cluster.clone(),
             database,
             holder: self.settings.node.clone(),
-            number,
+            number: token,
         });
     }
 
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -16,7 +16,6 @@
 mod dispatch;
 mod drain;
 mod dump;
-mod duty;
 mod event;
 mod evidence;
 mod failover;
@@ -27,6 +26,7 @@
 mod owners;
 mod peer;
 mod permit;
+mod promotion_lease;
 mod ready;
 mod registration;
 mod roster;
@@ -43,7 +43,6 @@
 
 pub use action::{ClientReply, GateAction, LogRecord, LogValue};
 pub use backend::{AnswerEnd, BackendAnswer, BackendCommand, DatabaseReport, LogPoint};
-pub use duty::{ACT_TIME, CALL_TIME, DutyRecord, DutyState, DutyWrite, TAKEOVER_WAIT};
 pub use event::{
     Document, GateEvent, LinkId, ListedDatabase, NodeRole, PromoteResult, SessionId, SessionOrigin,
     StoreState, StoredDocument, WriteResult, rank_of_priority,
@@ -53,6 +52,10 @@
 pub use model::DatabaseRole;
 pub use owners::{FEW_NODES, OwnerInput, OwnerTable};
 pub use permit::PERMIT_TIME;
+pub use promotion_lease::{
+    CALL_TIME, LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_LEASE_TTL, PromotionLease,
+    PromotionLeaseRecord,
+};
 pub use roster::NodeRecord;
 pub use route::{ClusterLimits, Freshness, RouteConfig, RouteTable};
 pub use settings::GateSettings;
@@ -100,7 +103,7 @@
     databases: FastMap<Name, Database>,
     links: FastMap<LinkId, Link>,
     roster: NodeRoster,
-    duty: DutyState,
+    promotion_lease: PromotionLease,
     registration: RegistrationState,
     failovers: FailoverState,
     drain: DrainState,
@@ -132,7 +135,7 @@
     pub fn new(settings: GateSettings) -> Self {
         Gate {
             roster: NodeRoster::new(settings.node.clone()),
-            duty: DutyState::new(settings.node.clone(), settings.process),
+            promotion_lease: PromotionLease::new(settings.node.clone(), settings.process),
             now: Micros::ZERO,
             started: Micros::MAX,
             out: Vec::new(),
@@ -192,7 +195,9 @@
                     self.update_owners();
                 }
             },
-            GateEvent::DutyWritten { attempt, result } => self.duty_written(attempt, result),
+            GateEvent::DutyWritten { attempt, result } => {
+                self.promotion_lease_written(attempt, result)
+            }
             GateEvent::StateRead { state } => self.state_read(state),
             GateEvent::LeaseEnded { node, ended } => self.lease_ended(&node, ended),
             GateEvent::PermitRenewed { sent, registration } => {
@@ -248,7 +253,7 @@
             .collect();
         self.roster.retain(self.now, &nodes);
         if !documents.iter().any(|stored| stored.document == Document::Duty) {
-            self.duty.observe(self.now, None);
+            self.promotion_lease.observe(self.now, None);
         }
         for stored in documents {
             self.take_document(stored);
@@ -267,7 +272,7 @@
     fn take_document(&mut self, stored: StoredDocument) {
         match stored.document {
             Document::Duty => {
-                if !self.duty.observe(self.now, Some((stored.revision, &stored.bytes))) {
+                if !self.promotion_lease.observe(self.now, Some((stored.revision, &stored.bytes))) {
                     self.log("document_unreadable", fields!["document" => "duty"]);
                 }
                 self.announcement_seen();
@@ -315,14 +320,14 @@
         }
     }
 
-    fn duty_written(&mut self, attempt: u64, result: WriteResult) {
+    fn promotion_lease_written(&mut self, attempt: u64, result: WriteResult) {
         let revision = match result {
             WriteResult::Written { revision } => Some(revision),
             WriteResult::Conflict | WriteResult::Failed => None,
         };
-        let held = self.duty.written(self.now, attempt, revision);
-        let number = self.duty.number(self.now).unwrap_or_default();
-        self.log("duty_written", fields!["held" => held, "number" => number]);
+        let held = self.promotion_lease.written(self.now, attempt, revision);
+        let token = self.promotion_lease.fencing_token(self.now).unwrap_or_default();
+        self.log("duty_written", fields!["held" => held, "number" => token]);
         self.announcement_seen();
         self.maintain_failovers();
     }
--- a/crates/gate/src/permit.rs
+++ b/crates/gate/src/permit.rs
@@ -110,7 +110,7 @@
 
     /// Acts on the stored announcement, which this node's next registration acknowledges.
     pub(crate) fn announcement_seen(&mut self) {
-        let (revision, record) = self.duty.record();
+        let (revision, record) = self.promotion_lease.record();
         if record.changing == self.permit.announced {
             return;
         }
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -150,7 +150,7 @@
         for cluster in clusters {
             self.step_failover(&cluster);
         }
-        self.tend_duty();
+        self.maintain_promotion_lease();
     }
 
     pub(crate) fn start_failover_if_due(
@@ -188,8 +188,8 @@
         };
         let due = *self.failovers.due_since.entry(cluster.clone()).or_insert(now);
         // Nobody else can act while this node holds the duty.
-        let place = if self.duty.number(now).is_some() { 0 } else { place };
-        if now < due + Micros(STAGGER.0 * place) || self.duty.is_taken(now) {
+        let place = if self.promotion_lease.fencing_token(now).is_some() { 0 } else { place };
+        if now < due + Micros(STAGGER.0 * place) || self.promotion_lease.is_held_elsewhere(now) {
             return;
         }
         let Some(state) = self.clusters.get(cluster) else { return };
--- a/crates/gate/tests/duty.rs
+++ b/crates/gate/tests/promotion_lease.rs
@@ -1,13 +1,13 @@
 //! The promotion duty under delays, lost and late writes, and pauses.
 
-use gate::{ACT_TIME, CALL_TIME, DutyState, DutyWrite, TAKEOVER_WAIT};
+use gate::{CALL_TIME, LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_LEASE_TTL, PromotionLease};
 use model::Micros;
 use proptest::prelude::*;
 
 /// A write on its way to the store.
 struct Flight {
     node: usize,
-    write: DutyWrite,
+    write: LeaseWrite,
     arrives: Micros,
     /// When the answer is back; `None` if it is lost.
     answered: Option<Micros>,
@@ -40,8 +40,8 @@
     /// after one of a higher number was made.
     #[test]
     fn numbers_belong_to_one_node_and_only_grow(steps in steps()) {
-        let mut nodes: Vec<DutyState> =
-            (0..3).map(|node| DutyState::new(format!("n{node}").into(), 1_000 * node)).collect();
+        let mut nodes: Vec<PromotionLease> =
+            (0..3).map(|node| PromotionLease::new(format!("n{node}").into(), 1_000 * node)).collect();
         for node in &mut nodes {
             node.observe(Micros::ZERO, None);
         }
@@ -68,7 +68,7 @@
                     }
                 }
                 for (index, node) in nodes.iter().enumerate() {
-                    if let Some(number) = node.number(now) {
+                    if let Some(number) = node.fencing_token(now) {
                         calls.push((now, number, index));
                     }
                 }
@@ -96,22 +96,22 @@
 
 #[test]
 fn the_wait_covers_the_holders_time_and_one_call() {
-    assert!(TAKEOVER_WAIT >= ACT_TIME + CALL_TIME);
+    assert!(LEASE_ACQUIRE_WAIT >= PROMOTION_LEASE_TTL + CALL_TIME);
 }
 
 #[test]
 fn a_dead_holder_is_succeeded_after_the_wait() {
-    let mut first = DutyState::new("n1".into(), 1);
-    let mut second = DutyState::new("n2".into(), 2);
+    let mut first = PromotionLease::new("n1".into(), 1);
+    let mut second = PromotionLease::new("n2".into(), 2);
     first.observe(Micros::ZERO, None);
     second.observe(Micros::ZERO, None);
     let write = first.claim(Micros::ZERO, vec!["billing".to_string()]).expect("nobody holds it");
     assert!(first.written(Micros::from_millis(5), write.attempt, Some(1)));
     second.observe(Micros::from_millis(6), Some((1, &write.bytes)));
-    assert!(second.is_taken(Micros::from_millis(2_000)));
-    let wait = Micros::from_millis(6) + TAKEOVER_WAIT;
+    assert!(second.is_held_elsewhere(Micros::from_millis(2_000)));
+    let wait = Micros::from_millis(6) + LEASE_ACQUIRE_WAIT;
     let write = second.claim(wait, Vec::new()).expect("the holder is silent");
     assert!(second.written(wait, write.attempt, Some(2)));
-    assert_eq!(second.number(wait), Some(2));
-    assert_eq!(first.number(wait), None);
+    assert_eq!(second.fencing_token(wait), Some(2));
+    assert_eq!(first.fencing_token(wait), None);
 }
