--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -5,36 +5,36 @@
 use crate::backend::{BackendAnswer, BackendCommand};
 use crate::database::{CommandPurpose, Database};
 use crate::event::{LinkId, ListedDatabase};
-use crate::evidence::LeadEvidence;
+use crate::leadership_proof::LeadershipProof;
 use crate::work::{WorkId, WorkStage};
 use crate::{Gate, fields};
 
 /// Time within which a change of primary is expected to be over; requests wait for it this long and are
 /// refused at once after it. Detection, one round of fences and one promotion.
-pub(crate) const CHANGE_TIME: Micros = Micros::from_millis(2_500);
+pub(crate) const FAILOVER_WAIT: Micros = Micros::from_millis(2_500);
 
 /// Pause after a report that proved nothing, such as one of a fenced replica.
-const PROOF_PAUSE: Micros = Micros::from_millis(100);
+const PROOF_RETRY_INTERVAL: Micros = Micros::from_millis(100);
 
 /// Interval of asking every database while no leader is known. A new primary's entry changes at once, so
 /// this is only for changes that the store does not show.
 const SEARCH_INTERVAL: Micros = Micros::from_millis(500);
 
 /// Interval while a leader is known but does not answer.
-const DOUBT_INTERVAL: Micros = Micros::from_millis(1_500);
+const UNRESPONSIVE_LEADER_INTERVAL: Micros = Micros::from_millis(1_500);
 
 /// Time for which a database without an entry is kept. Entries that lapse while the store is away are back
 /// two seconds after its return; the platform allows seven seconds of use after an entry is gone.
-pub(crate) const UNLISTED_TIME: Micros = Micros::from_millis(4_000);
+pub(crate) const UNLISTED_GRACE: Micros = Micros::from_millis(4_000);
 
 /// Time after which a leaving database gets no new request; the platform allows seven seconds.
-pub(crate) const LEAVING_TIME: Micros = Micros::from_millis(5_500);
+pub(crate) const LEAVING_GRACE: Micros = Micros::from_millis(5_500);
 
 /// What a node knows of one cluster.
 #[derive(Debug, Default)]
 pub(crate) struct ClusterState {
     pub(crate) members: Vec<Name>,
-    pub(crate) evidence: LeadEvidence,
+    pub(crate) proof: LeadershipProof,
     /// Requests that wait for a leader.
     pub(crate) parked: Vec<WorkId>,
     /// Requests that wait for proof of the leader.
@@ -42,11 +42,11 @@
     /// Since when no usable leader is known, while requests need one.
     pub(crate) leader_missed: Option<Micros>,
     /// Latest time that a proof is needed for.
-    pub(crate) proof_need: Option<Micros>,
+    pub(crate) proof_needed_since: Option<Micros>,
     next_search: Micros,
     /// Term at which a change of primary was announced.
     pub(crate) announced_term: Option<Term>,
-    /// When the last announced change was over; what was witnessed before counts no more.
+    /// When the last announced change was over; what was directly_confirmed before counts no more.
     pub(crate) settled: Micros,
     /// When a commit was sent that is overdue, with none acknowledged since.
     pub(crate) commit_overdue: Option<Micros>,
@@ -58,7 +58,7 @@
     /// Returns the replica that this node sends reads to while it is not loaded: one in its own data centre,
     /// else one by the nodes' order. So a replica has connections from about half of the nodes.
     pub(crate) fn preferred_replica<'a>(&self, state: &'a ClusterState) -> Option<&'a Name> {
-        let leader = state.evidence.leader();
+        let leader = state.proof.leader();
         let usable: Vec<&Name> = state
             .members
             .iter()
@@ -74,8 +74,8 @@
                 .get(**name)
                 .is_some_and(|database| database.listed.data_centre == self.settings.data_centre)
         });
-        let turn = self.roster.turn(usable.len());
-        near.or_else(|| usable.get(turn)).copied()
+        let index = self.registry.choice_index(usable.len());
+        near.or_else(|| usable.get(index)).copied()
     }
 
     /// Replaces the whole list of databases.
@@ -165,7 +165,7 @@
         self.databases.remove(name);
         if let Some(state) = self.clusters.get_mut(&cluster) {
             state.members.retain(|member| member != name);
-            state.evidence.distrust(name);
+            state.proof.forget_leader(name);
         }
         self.reroute_queued(name);
         self.log("database_removed", fields!["database" => name]);
@@ -178,7 +178,7 @@
             .databases
             .iter()
             .filter(|(_, database)| {
-                database.unlisted.is_some_and(|since| now >= since + UNLISTED_TIME)
+                database.unlisted.is_some_and(|since| now >= since + UNLISTED_GRACE)
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -188,17 +188,17 @@
     }
 
     /// Asks for proof that the leader still leads, for a request that began at `need`.
-    pub(crate) fn want_proof(&mut self, cluster: &Name, need: Micros) {
-        self.apply_permit(cluster);
+    pub(crate) fn request_proof(&mut self, cluster: &Name, need: Micros) {
+        self.apply_read_lease(cluster);
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        if state.evidence.confirmed_at() >= Some(need) {
+        if state.proof.confirmed_at() >= Some(need) {
             return;
         }
-        state.proof_need = state.proof_need.max(Some(need));
-        if state.proof_failed.is_some_and(|at| self.now < at + PROOF_PAUSE) {
+        state.proof_needed_since = state.proof_needed_since.max(Some(need));
+        if state.proof_failed.is_some_and(|at| self.now < at + PROOF_RETRY_INTERVAL) {
             return;
         }
-        let leader = state.evidence.leader().cloned();
+        let leader = state.proof.leader().cloned();
         let members = state.members.clone();
         let own = &self.settings.data_centre;
         let mut best: Option<(bool, bool, u32, Name)> = None;
@@ -266,24 +266,26 @@
         }
         let Some(report) = answer.report else {
             // Busy; another replica may answer, or this one later.
-            if let Some(need) = self.clusters.get(&cluster).and_then(|state| state.proof_need) {
-                self.want_proof(&cluster, need);
+            if let Some(need) =
+                self.clusters.get(&cluster).and_then(|state| state.proof_needed_since)
+            {
+                self.request_proof(&cluster, need);
             }
             return;
         };
         database.report = Some(report);
         database.reported = Some(self.now);
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
-        let changed = state.evidence.report(&name, asked, &report);
-        if state.evidence.confirmed_at() >= state.proof_need {
-            state.proof_need = None;
+        let changed = state.proof.report(&name, asked, &report);
+        if state.proof.confirmed_at() >= state.proof_needed_since {
+            state.proof_needed_since = None;
             state.proof_failed = None;
         } else if report.role == DatabaseRole::Replica {
             state.proof_failed = Some(self.now);
         }
         if changed {
             state.commit_overdue = None;
-            let (term, leader) = (state.evidence.term(), state.evidence.leader().cloned());
+            let (term, leader) = (state.proof.term(), state.proof.leader().cloned());
             self.log(
                 "leader_changed",
                 fields![
@@ -300,17 +302,17 @@
         }
         self.wake_proving(&cluster);
         self.wake_parked(&cluster);
-        if let Some(need) = self.clusters.get(&cluster).and_then(|state| state.proof_need) {
-            self.want_proof(&cluster, need);
+        if let Some(need) = self.clusters.get(&cluster).and_then(|state| state.proof_needed_since) {
+            self.request_proof(&cluster, need);
         }
     }
 
     /// Routes the requests whose leader is proved now, or is no longer known.
     pub(crate) fn wake_proving(&mut self, cluster: &Name) {
-        self.apply_permit(cluster);
+        self.apply_read_lease(cluster);
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        let confirmed = state.evidence.confirmed_at();
-        let lost = state.evidence.leader().is_none();
+        let confirmed = state.proof.confirmed_at();
+        let lost = state.proof.leader().is_none();
         for id in std::mem::take(&mut state.proving) {
             let Some(work) = self.works.get(&id) else { continue };
             if work.stage != WorkStage::Proving {
@@ -339,25 +341,25 @@
     }
 
     /// Asks for positions, looks for leaders, and refuses what has waited too long.
-    pub(crate) fn tend_clusters(&mut self) {
+    pub(crate) fn maintain_clusters(&mut self) {
         let names: Vec<Name> = self.clusters.keys().cloned().collect();
         for cluster in names {
-            self.tend_cluster(&cluster);
+            self.maintain_cluster(&cluster);
         }
     }
 
-    fn tend_cluster(&mut self, cluster: &Name) {
+    fn maintain_cluster(&mut self, cluster: &Name) {
         let now = self.now;
         let holds = self.owns_links(cluster);
-        if let Some(need) = self.clusters.get(cluster).and_then(|state| state.proof_need) {
-            self.want_proof(cluster, need);
+        if let Some(need) = self.clusters.get(cluster).and_then(|state| state.proof_needed_since) {
+            self.request_proof(cluster, need);
         }
         self.probe_overdue(cluster);
         self.wake_proving(cluster);
         self.wake_parked(cluster);
         let usable = self.usable_leader(cluster).is_some();
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        if !usable && state.leader_missed.is_some_and(|since| now >= since + CHANGE_TIME) {
+        if !usable && state.leader_missed.is_some_and(|since| now >= since + FAILOVER_WAIT) {
             for id in std::mem::take(&mut state.parked) {
                 if self.works.get(&id).is_some_and(|work| work.stage == WorkStage::Parked) {
                     self.refuse(
@@ -369,11 +371,11 @@
             }
         }
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        let unknown = state.evidence.leader().is_none();
+        let unknown = state.proof.leader().is_none();
         let doubtful = !state.proving.is_empty() || state.leader_missed.is_some();
         if now >= state.next_search {
             if holds && (unknown || doubtful) {
-                let interval = if unknown { SEARCH_INTERVAL } else { DOUBT_INTERVAL };
+                let interval = if unknown { SEARCH_INTERVAL } else { UNRESPONSIVE_LEADER_INTERVAL };
                 state.next_search = now + interval;
                 return self.ask_all(cluster);
             }
@@ -381,7 +383,7 @@
             state.next_search = now + SEARCH_INTERVAL;
         }
         if holds {
-            self.witness_for_permit(cluster);
+            self.prove_for_read_lease(cluster);
         }
     }
 
@@ -398,15 +400,15 @@
     }
 
     /// Asks for one report if the permit needs it to prove anything.
-    fn witness_for_permit(&mut self, cluster: &Name) {
-        let Some(acquired) = self.permit() else { return };
+    fn prove_for_read_lease(&mut self, cluster: &Name) {
+        let Some(acquired) = self.read_lease_acquired() else { return };
         let Some(state) = self.clusters.get(cluster) else { return };
-        if state.evidence.leader().is_some()
-            && state.evidence.needs_witness(acquired.max(state.settled))
+        if state.proof.leader().is_some()
+            && state.proof.needs_direct_proof(acquired.max(state.settled))
             && !self.is_announced(cluster)
         {
             let since = acquired.max(state.settled);
-            self.want_proof(cluster, since);
+            self.request_proof(cluster, since);
         }
     }
 }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -44,7 +44,7 @@
         self.update_ready();
     }
 
-    pub(crate) fn tend_drain(&mut self) {
+    pub(crate) fn maintain_drain(&mut self) {
         let Some(since) = self.drain.since else { return };
         let now = self.now;
         if self.drain.complete {
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -27,11 +27,11 @@
             .map(|(name, state)| {
                 json!({
                     "cluster": name,
-                    "term": state.evidence.term(),
-                    "leader": state.evidence.leader(),
+                    "term": state.proof.term(),
+                    "leader": state.proof.leader(),
                     "leader_usable": self.usable_leader(name).is_some(),
                     "proof_age_ms": state
-                        .evidence
+                        .proof
                         .confirmed_at()
                         .map(|at| now.saturating_sub(at).as_millis()),
                     "change_announced": self.is_announced(name),
@@ -66,8 +66,8 @@
             "configuration": self.table.version,
             "sessions": self.sessions.len(),
             "requests": self.works.len(),
-            "nodes": self.roster.live(),
-            "permit_held": self.permit().is_some(),
+            "nodes": self.registry.live(),
+            "permit_held": self.read_lease_acquired().is_some(),
             "draining": self.drain.since.is_some(),
             "duty": { "revision": lease_revision, "holder": lease.holder,
                 "number": lease.fencing_token, "idle": lease.idle },
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -24,8 +24,8 @@
 use crate::backend::{BackendCommand, DatabaseReport};
 use crate::database::CommandPurpose;
 use crate::event::{Document, NodeRole, PromoteResult, StoreState, StoredDocument};
-use crate::permit::PERMIT_TIME;
-use crate::roster::NodeRecord;
+use crate::read_lease::READ_LEASE_TTL;
+use crate::registry::NodeRecord;
 use crate::{Gate, fields};
 
 /// Time after which a change is given up.
@@ -160,7 +160,10 @@
             link.pending.iter().any(|pending| pending.purpose == CommandPurpose::Unfence)
         });
         let write = if self.failovers.running.is_empty() && !unfence_pending {
-            if abandoned && self.promotion_lease.fencing_token(now).is_none() && self.is_steady() {
+            if abandoned
+                && self.promotion_lease.fencing_token(now).is_none()
+                && self.has_stable_contact()
+            {
                 // The announcement of a holder that died is cleared by claiming and releasing.
                 self.promotion_lease.claim(now, Vec::new())
             } else {
@@ -291,10 +294,10 @@
         else {
             return false;
         };
-        let evidence = &state.evidence;
-        evidence.leader().is_some()
-            && evidence.leader() != failover.old.as_ref()
-            && evidence.term() >= failover.term
+        let proof = &state.proof;
+        proof.leader().is_some()
+            && proof.leader() != failover.old.as_ref()
+            && proof.term() >= failover.term
     }
 
     /// Takes in the state that the store had when it was asked.
@@ -338,8 +341,8 @@
             if failover.relisted {
                 failover.unacknowledged =
                     unacknowledged_nodes(&documents, &self.settings.node, failover.announced);
-                let departed = self.roster.departed().unwrap_or(self.started);
-                failover.read_leases_expired_at = departed.max(self.started) + PERMIT_TIME;
+                let last_departure = self.registry.last_departure().unwrap_or(self.started);
+                failover.read_leases_expired_at = last_departure.max(self.started) + READ_LEASE_TTL;
             }
             failover.replicas = replicas;
             if failover.only_lifts_fences {
@@ -363,9 +366,9 @@
     fn wait_for_acknowledgements(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(failover) = self.failovers.running.get_mut(cluster) else { return };
-        let (announced, roster) = (failover.announced, &self.roster);
+        let (announced, registry) = (failover.announced, &self.registry);
         failover.unacknowledged.retain(|node, wait| {
-            *wait == LeaseRevocation::Ended || !roster.has_seen(node, announced)
+            *wait == LeaseRevocation::Ended || !registry.has_acknowledged(node, announced)
         });
         let mut ends = Vec::new();
         for (node, wait) in &mut failover.unacknowledged {
@@ -387,7 +390,7 @@
         self.out.append(&mut ends);
     }
 
-    /// Another node's lease has ended; its permit runs out within [`PERMIT_TIME`].
+    /// Another node's lease has ended; its permit runs out within [`READ_LEASE_TTL`].
     pub(crate) fn lease_ended(&mut self, node: &Name, ended: bool) {
         let now = self.now;
         self.log("lease_ended", fields!["node" => node, "ended" => ended]);
@@ -395,7 +398,7 @@
             if ended && let Some(wait) = failover.unacknowledged.get_mut(node) {
                 *wait = LeaseRevocation::Ended;
                 failover.read_leases_expired_at =
-                    failover.read_leases_expired_at.max(now + PERMIT_TIME);
+                    failover.read_leases_expired_at.max(now + READ_LEASE_TTL);
             }
         }
     }
@@ -460,8 +463,8 @@
     fn complete_failover(&mut self, cluster: &Name) {
         let Some(failover) = self.failovers.running.remove(cluster) else { return };
         let Some(state) = self.clusters.get(cluster) else { return };
-        let term = state.evidence.term();
-        let leader = state.evidence.leader().cloned().unwrap_or_default();
+        let term = state.proof.term();
+        let leader = state.proof.leader().cloned().unwrap_or_default();
         let took = self.now.saturating_sub(failover.started);
         self.count("takeovers_completed");
         self.log(
@@ -512,7 +515,7 @@
         let Document::Node(NodeRole::Owner, node) = &stored.document else { continue };
         // One that cannot be read has acknowledged nothing.
         let record: NodeRecord = serde_json::from_slice(&stored.bytes).unwrap_or_default();
-        if node != own && record.seen < announced {
+        if node != own && record.acknowledged < announced {
             let wait = LeaseRevocation::Held { lease: stored.lease, asked: None };
             missing.insert(node.clone(), wait);
         }
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -78,7 +78,7 @@
     /// Lifts fences under the duty, which excludes that another node is setting them.
     pub(crate) fn lift_fences(&mut self, cluster: &Name) {
         let Some(state) = self.clusters.get(cluster) else { return };
-        for name in state.evidence.fenced_replicas() {
+        for name in state.proof.fenced_replicas() {
             self.unfence(&name);
         }
         self.failovers.running.remove(cluster);
@@ -178,7 +178,7 @@
             failover.fenced.clear();
         }
         if let Some(state) = self.clusters.get_mut(&cluster) {
-            state.evidence.report(&name, sent, &report);
+            state.proof.report(&name, sent, &report);
         }
         self.step_failover(&cluster);
     }
@@ -204,7 +204,7 @@
     /// it may come back.
     pub(crate) fn waits_for_missing_log(&mut self, cluster: &Name) -> bool {
         let Some((name, position)) = self.longest_fenced_log(cluster) else { return true };
-        let known = self.clusters.get(cluster).map(|state| state.evidence.held());
+        let known = self.clusters.get(cluster).map(|state| state.proof.known_log_end());
         let known = known.unwrap_or_default();
         if position >= known {
             return false;
--- a/crates/gate/src/fleet.rs
+++ b/crates/gate/src/fleet.rs
@@ -61,22 +61,22 @@
 
 impl Gate {
     /// Takes in the stored record.
-    pub(crate) fn fleet_counted(&mut self, record: FleetRecord) {
+    pub(crate) fn fleet_record_read(&mut self, record: FleetRecord) {
         self.fleet.known = record.nodes;
     }
 
     pub(crate) fn awaits_nodes(&mut self) -> bool {
-        let live = self.roster.live();
+        let live = self.registry.live();
         self.fleet.awaits_nodes(self.now, live)
     }
 
     /// Ends the wait for nodes, and stores their number if it has changed for long. One node does.
-    pub(crate) fn tend_fleet(&mut self) {
+    pub(crate) fn maintain_fleet_count(&mut self) {
         let now = self.now;
         if self.fleet.incomplete.is_some() {
             self.update_owners();
         }
-        let (live, known) = (self.roster.live(), self.fleet.known);
+        let (live, known) = (self.registry.live(), self.fleet.known);
         let large = live.max(known) as usize > FEW_NODES;
         if !large || live.abs_diff(known) * 100 <= known * DIFFERS_PERCENT {
             self.fleet.differs = None;
--- a/crates/gate/src/evidence.rs
+++ b/crates/gate/src/leadership_proof.rs
@@ -21,16 +21,16 @@
 
 use crate::backend::{DatabaseReport, LogPoint};
 
-/// Positions of the primary that are kept; at one each [`SAMPLE_SPACING`] they reach back 4 s, beyond the
+/// Positions of the primary that are kept; at one each [`SAMPLE_INTERVAL`] they reach back 4 s, beyond the
 /// accepted ages of the configurations.
 const SAMPLE_LIMIT: usize = 40;
 
 /// Least time between two positions that are kept.
-const SAMPLE_SPACING: Micros = Micros::from_millis(100);
+const SAMPLE_INTERVAL: Micros = Micros::from_millis(100);
 
 /// A position and the time before which every acknowledged commit is covered by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct DataSample {
+struct LeaderPosition {
     since: Micros,
     point: LogPoint,
 }
@@ -38,7 +38,7 @@
 /// What a node knows about the leadership of one cluster.
 ///
 /// ```
-/// use gate::{DatabaseReport, DatabaseRole, LeadEvidence, LogPoint};
+/// use gate::{DatabaseReport, DatabaseRole, LeadershipProof, LogPoint};
 /// use model::{Micros, Name, Term};
 ///
 /// let (primary, replica) = (Name::from("a"), Name::from("b"));
@@ -46,34 +46,34 @@
 /// let report = |role| DatabaseReport {
 ///     role, term: Term(3), received: point, fence: Term(0), lag: Micros::ZERO, connections: 1,
 /// };
-/// let mut evidence = LeadEvidence::default();
-/// evidence.report(&primary, Micros(10), &report(DatabaseRole::Primary));
-/// assert!(!evidence.proves(&primary, Micros(5)));
-/// evidence.report(&replica, Micros(20), &report(DatabaseRole::Replica));
-/// assert!(evidence.proves(&primary, Micros(20)));
-/// assert_eq!(evidence.sample(Micros(10)), Some(point));
+/// let mut proof = LeadershipProof::default();
+/// proof.report(&primary, Micros(10), &report(DatabaseRole::Primary));
+/// assert!(!proof.proves(&primary, Micros(5)));
+/// proof.report(&replica, Micros(20), &report(DatabaseRole::Replica));
+/// assert!(proof.proves(&primary, Micros(20)));
+/// assert_eq!(proof.proved_position(Micros(10)), Some(point));
 /// ```
 #[derive(Debug, Default)]
-pub struct LeadEvidence {
+pub struct LeadershipProof {
     term: Term,
     leader: Option<Name>,
     /// The database that last reported to lead `term`.
-    led: Option<Name>,
+    last_leader: Option<Name>,
     /// That database has become a replica, so the term is over.
-    over: bool,
+    term_ended: bool,
     /// No change beyond `term` had begun at this time.
     confirmed: Option<Micros>,
     /// As `confirmed`, by a report or a commit and not by a permit.
-    witnessed: Option<Micros>,
+    directly_confirmed: Option<Micros>,
     /// Replicas with a fence above `term`, and since when.
     fenced: FastMap<Name, Micros>,
     /// Highest position that a replica held or that a commit was acknowledged at.
-    held: LogPoint,
-    unproved: VecDeque<DataSample>,
-    proved: VecDeque<DataSample>,
+    known_log_end: LogPoint,
+    unproved: VecDeque<LeaderPosition>,
+    proved: VecDeque<LeaderPosition>,
 }
 
-impl LeadEvidence {
+impl LeadershipProof {
     /// Returns the highest term seen.
     pub fn term(&self) -> Term {
         self.term
@@ -100,43 +100,43 @@
             return false;
         }
         if report.role == DatabaseRole::Replica {
-            self.point_held(database, report.received);
+            self.observe_replica_position(database, report.received);
         }
         let before = (self.term, self.leader.clone());
         if report.term > self.term {
             self.term = report.term;
             self.leader = None;
-            self.led = None;
-            self.over = false;
+            self.last_leader = None;
+            self.term_ended = false;
             self.confirmed = None;
-            self.witnessed = None;
+            self.directly_confirmed = None;
             self.fenced.clear();
             // Replicas roll back what the new primary lacks.
-            self.held = LogPoint::default();
+            self.known_log_end = LogPoint::default();
             self.unproved.clear();
         }
         match report.role {
             DatabaseRole::Primary => {
                 if before.0 != self.term {
                     // What was acknowledged before is in the log with which it began.
-                    self.held = report.received;
+                    self.known_log_end = report.received;
                 }
                 self.leader = Some(database.clone());
-                self.led = Some(database.clone());
-                self.over = false;
-                self.point_seen(database, asked, report.received);
+                self.last_leader = Some(database.clone());
+                self.term_ended = false;
+                self.observe_leader_position(database, asked, report.received);
             }
             DatabaseRole::Replica => {
-                if self.led.as_ref() == Some(database) {
+                if self.last_leader.as_ref() == Some(database) {
                     self.leader = None;
-                    self.over = true;
+                    self.term_ended = true;
                     self.unproved.clear();
                 }
                 if report.fence > self.term {
                     self.fenced.entry(database.clone()).or_insert(asked);
                 } else {
                     self.fenced.remove(database);
-                    self.witness(asked);
+                    self.confirm_directly(asked);
                 }
             }
         }
@@ -144,69 +144,69 @@
     }
 
     /// Takes in the end of the log that a database sent in answer to a command sent at `sent`.
-    pub fn point_seen(&mut self, database: &Name, sent: Micros, point: LogPoint) {
+    pub fn observe_leader_position(&mut self, database: &Name, sent: Micros, point: LogPoint) {
         if self.leader.as_ref() != Some(database) {
             return;
         }
         let last = self.unproved.back().or(self.proved.back());
-        if last.is_some_and(|last| sent < last.since + SAMPLE_SPACING) {
+        if last.is_some_and(|last| sent < last.since + SAMPLE_INTERVAL) {
             return;
         }
-        self.unproved.push_back(DataSample { since: sent, point });
+        self.unproved.push_back(LeaderPosition { since: sent, point });
         if self.unproved.len() > SAMPLE_LIMIT {
             self.unproved.pop_front();
         }
-        self.settle();
+        self.update_proved();
     }
 
     /// Takes in a position that a replica holds. A commit may have been acknowledged because of it.
-    pub fn point_held(&mut self, database: &Name, point: LogPoint) {
+    pub fn observe_replica_position(&mut self, database: &Name, point: LogPoint) {
         if self.leader.as_ref() != Some(database) {
-            self.held = self.held.max(point);
+            self.known_log_end = self.known_log_end.max(point);
         }
     }
 
     /// Returns the position that a new primary has to hold so that no acknowledged commit is lost, as far
     /// as this node knows.
-    pub fn held(&self) -> LogPoint {
-        self.held
+    pub fn known_log_end(&self) -> LogPoint {
+        self.known_log_end
     }
 
     /// Takes in a commit at `point`, sent at `sent`, that the leader acknowledged with a synchronous replica.
     pub fn commit_acknowledged(&mut self, database: &Name, sent: Micros, point: Option<LogPoint>) {
         if self.leader.as_ref() == Some(database) {
-            self.held = self.held.max(point.unwrap_or_default());
-            self.witness(sent);
+            self.known_log_end = self.known_log_end.max(point.unwrap_or_default());
+            self.confirm_directly(sent);
         }
     }
 
     /// Takes in that the permit, held since `acquired`, is valid now and no change is announced.
-    pub fn permit_holds(&mut self, acquired: Micros, now: Micros) {
-        if self.leader.is_some() && self.witnessed >= Some(acquired) {
+    pub fn read_lease_valid(&mut self, acquired: Micros, now: Micros) {
+        if self.leader.is_some() && self.directly_confirmed >= Some(acquired) {
             self.confirm(now);
         }
     }
 
     /// Tells whether a permit held since `acquired` needs a report before it proves anything.
-    pub fn needs_witness(&self, acquired: Micros) -> bool {
-        self.witnessed < Some(acquired)
+    pub fn needs_direct_proof(&self, acquired: Micros) -> bool {
+        self.directly_confirmed < Some(acquired)
     }
 
-    fn witness(&mut self, at: Micros) {
-        if self.over {
+    fn confirm_directly(&mut self, at: Micros) {
+        if self.term_ended {
             return;
         }
-        self.witnessed = self.witnessed.max(Some(at));
+        self.directly_confirmed = self.directly_confirmed.max(Some(at));
         self.confirm(at);
     }
 
     fn confirm(&mut self, at: Micros) {
         self.confirmed = self.confirmed.max(Some(at));
-        self.settle();
+        self.update_proved();
     }
 
     /// Moves the positions that the newest proof covers.
-    fn settle(&mut self) {
+    fn update_proved(&mut self) {
         while let Some(sample) = self.unproved.front().copied()
             && self.confirmed >= Some(sample.since)
         {
@@ -230,12 +230,12 @@
 
     /// Returns the oldest proved position that covers every commit acknowledged before `since`. The
     /// oldest one is met by the most replicas.
-    pub fn sample(&self, since: Micros) -> Option<LogPoint> {
+    pub fn proved_position(&self, since: Micros) -> Option<LogPoint> {
         self.proved.iter().find(|sample| sample.since >= since).map(|sample| sample.point)
     }
 
     /// Forgets the leader, as after an error that only a replaced primary sends.
-    pub fn distrust(&mut self, database: &Name) {
+    pub fn forget_leader(&mut self, database: &Name) {
         self.fenced.remove(database);
         if self.leader.as_ref() == Some(database) {
             self.leader = None;
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -17,19 +17,19 @@
 mod drain;
 mod dump;
 mod event;
-mod evidence;
 mod failover;
 mod fencing;
 mod fleet;
+mod leadership_proof;
 mod link;
 mod outcome;
 mod owners;
 mod peer;
-mod permit;
 mod promotion_lease;
+mod read_lease;
 mod ready;
 mod registration;
-mod roster;
+mod registry;
 mod route;
 mod session;
 mod settings;
@@ -47,16 +47,16 @@
     Document, GateEvent, LinkId, ListedDatabase, NodeRole, PromoteResult, SessionId, SessionOrigin,
     StoreState, StoredDocument, WriteResult, rank_of_priority,
 };
-pub use evidence::LeadEvidence;
 pub use fleet::FleetRecord;
+pub use leadership_proof::LeadershipProof;
 pub use model::DatabaseRole;
 pub use owners::{FEW_NODES, OwnerInput, OwnerTable};
-pub use permit::PERMIT_TIME;
 pub use promotion_lease::{
     CALL_TIME, LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_LEASE_TTL, PromotionLease,
     PromotionLeaseRecord,
 };
-pub use roster::NodeRecord;
+pub use read_lease::READ_LEASE_TTL;
+pub use registry::NodeRecord;
 pub use route::{ClusterLimits, Freshness, RouteConfig, RouteTable};
 pub use settings::GateSettings;
 pub use statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
@@ -67,10 +67,10 @@
 use failover::FailoverState;
 use fleet::FleetState;
 use peer::PeerState;
-use permit::PermitState;
+use read_lease::ReadLeaseState;
 use ready::ReadyState;
 use registration::RegistrationState;
-use roster::NodeRoster;
+use registry::NodeRegistry;
 use session::Session;
 use work::{Work, WorkId};
 
@@ -102,13 +102,13 @@
     clusters: FastMap<Name, ClusterState>,
     databases: FastMap<Name, Database>,
     links: FastMap<LinkId, Link>,
-    roster: NodeRoster,
+    registry: NodeRegistry,
     promotion_lease: PromotionLease,
     registration: RegistrationState,
     failovers: FailoverState,
     drain: DrainState,
     ready: ReadyState,
-    permit: PermitState,
+    read_lease: ReadLeaseState,
     peers: PeerState,
     owners: OwnerTable,
     fleet: FleetState,
@@ -134,7 +134,7 @@
     /// ```
     pub fn new(settings: GateSettings) -> Self {
         Gate {
-            roster: NodeRoster::new(settings.node.clone()),
+            registry: NodeRegistry::new(settings.node.clone()),
             promotion_lease: PromotionLease::new(settings.node.clone(), settings.process),
             now: Micros::ZERO,
             started: Micros::MAX,
@@ -151,7 +151,7 @@
             failovers: FailoverState::default(),
             drain: DrainState::default(),
             ready: ReadyState::default(),
-            permit: PermitState::default(),
+            read_lease: ReadLeaseState::default(),
             peers: PeerState::default(),
             owners: OwnerTable::default(),
             fleet: FleetState::default(),
@@ -191,7 +191,7 @@
             GateEvent::DocumentRemoved(document) => match document {
                 Document::Duty | Document::Fleet => {}
                 Document::Node(role, name) => {
-                    self.roster.remove(self.now, role, &name);
+                    self.registry.remove(self.now, role, &name);
                     self.update_owners();
                 }
             },
@@ -201,10 +201,10 @@
             GateEvent::StateRead { state } => self.state_read(state),
             GateEvent::LeaseEnded { node, ended } => self.lease_ended(&node, ended),
             GateEvent::PermitRenewed { sent, registration } => {
-                self.permit_renewed(sent, registration);
+                self.read_lease_renewed(sent, registration);
             }
-            GateEvent::ContactRenewed { sent } => self.contact_renewed(sent),
-            GateEvent::PermitLost => self.permit_lost(),
+            GateEvent::ContactRenewed { sent } => self.store_contact_renewed(sent),
+            GateEvent::PermitLost => self.read_lease_lost(),
             GateEvent::PromoteAnswered { cluster, result } => {
                 self.promote_answered(&cluster, result);
             }
@@ -218,14 +218,14 @@
 
     fn tick(&mut self) {
         self.check_works();
-        self.tend_links();
-        self.tend_peers();
-        self.tend_fleet();
-        self.tend_clusters();
+        self.maintain_connections();
+        self.maintain_peers();
+        self.maintain_fleet_count();
+        self.maintain_clusters();
         self.remove_unlisted();
         self.end_idle_transactions();
         self.maintain_failovers();
-        self.tend_drain();
+        self.maintain_drain();
         self.update_ready();
     }
 
@@ -251,7 +251,7 @@
                 Document::Duty | Document::Fleet => None,
             })
             .collect();
-        self.roster.retain(self.now, &nodes);
+        self.registry.retain(self.now, &nodes);
         if !documents.iter().any(|stored| stored.document == Document::Duty) {
             self.promotion_lease.observe(self.now, None);
         }
@@ -279,11 +279,11 @@
             }
             Document::Fleet => {
                 let record = self.read_record("fleet", &stored.bytes);
-                self.fleet_counted(record);
+                self.fleet_record_read(record);
             }
             Document::Node(role, name) => {
                 let record = self.read_record("node", &stored.bytes);
-                self.roster.set(role, name, record);
+                self.registry.set(role, name, record);
             }
         }
     }
--- a/crates/gate/src/link.rs
+++ b/crates/gate/src/link.rs
@@ -4,7 +4,7 @@
 
 use crate::action::GateAction;
 use crate::backend::{AnswerEnd, BackendAnswer, BackendCommand, LogPoint};
-use crate::cluster::LEAVING_TIME;
+use crate::cluster::LEAVING_GRACE;
 use crate::database::{CommandPurpose, Link, PendingCommand, steady_share};
 use crate::event::LinkId;
 use crate::statement::{ErrorCode, SessionState};
@@ -60,7 +60,7 @@
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
         let closed = database.unlisted.is_some()
-            || database.leaving_since.is_some_and(|since| now >= since + LEAVING_TIME);
+            || database.leaving_since.is_some_and(|since| now >= since + LEAVING_GRACE);
         if now < database.retry_open || closed {
             return;
         }
@@ -104,7 +104,7 @@
         if !self.owns_links(&database.listed.cluster) {
             return false;
         }
-        match state.evidence.leader() {
+        match state.proof.leader() {
             Some(leader) => leader == name || self.preferred_replica(state) == Some(name),
             None => true,
         }
@@ -283,10 +283,10 @@
                 database.applied = Some(point);
                 database.applied_at = now;
             }
-            self.apply_permit(&cluster);
+            self.apply_read_lease(&cluster);
             if let Some(state) = self.clusters.get_mut(&cluster) {
-                state.evidence.point_seen(&name, pending.sent, point);
-                state.evidence.point_held(&name, point);
+                state.proof.observe_leader_position(&name, pending.sent, point);
+                state.proof.observe_replica_position(&name, point);
             }
         }
         match pending.purpose {
@@ -366,7 +366,7 @@
     }
 
     /// Closes connections that are silent, in doubt or unused.
-    pub(crate) fn tend_links(&mut self) {
+    pub(crate) fn maintain_connections(&mut self) {
         let now = self.now;
         let mut silent = Vec::new();
         let mut surplus: Vec<(Name, LinkId, Micros)> = Vec::new();
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -120,7 +120,7 @@
         match code {
             ErrorCode::ReadOnly => {
                 if let Some(state) = self.clusters.get_mut(&cluster) {
-                    state.evidence.distrust(&database);
+                    state.proof.forget_leader(&database);
                 }
                 self.ask_all(&cluster);
                 self.retry_work(id, None, code, ErrorCode::Busy);
@@ -231,7 +231,7 @@
             if self.table.clusters.get(&cluster).is_some_and(|limits| limits.sync_replicas > 0)
                 && let Some(state) = self.clusters.get_mut(&cluster)
             {
-                state.evidence.commit_acknowledged(&database, sent, answer.point);
+                state.proof.commit_acknowledged(&database, sent, answer.point);
             }
         }
         self.deliver(id, answer);
@@ -299,9 +299,9 @@
             ClientReply::Failed { .. } => "requests_failed",
         });
         self.out.push(GateAction::Observe { histogram: "request_time", micros: took.0 });
-        let evidence = self.clusters.get(&work.route.cluster).map(|state| &state.evidence);
-        let proof_age = evidence
-            .and_then(|evidence| evidence.confirmed_at())
+        let proof = self.clusters.get(&work.route.cluster).map(|state| &state.proof);
+        let proof_age = proof
+            .and_then(|proof| proof.confirmed_at())
             .map_or(u64::MAX, |at| now.saturating_sub(at).as_millis());
         self.log(
             "request",
@@ -312,7 +312,7 @@
                 "database" => work.database.clone().unwrap_or_default().to_string(),
                 "after" => work.after.map_or_else(String::new, |point| point.to_string()),
                 "version" => self.table.version,
-                "term" => evidence.map_or(0, |evidence| evidence.term().0),
+                "term" => proof.map_or(0, |proof| proof.term().0),
                 "proof_age_ms" => proof_age,
                 "tries" => u64::from(work.tries),
                 "took_ms" => took.as_millis(),
--- a/crates/gate/src/owners.rs
+++ b/crates/gate/src/owners.rs
@@ -160,7 +160,7 @@
         }
         let (centre, capacity) = (&self.settings.data_centre, self.settings.capacity);
         let leaving = self.drain.since.is_some();
-        let nodes = self.roster.members(centre, capacity, leaving);
+        let nodes = self.registry.members(centre, capacity, leaving);
         let clusters = self.table.clusters.iter();
         let clusters = clusters.map(|(name, limits)| (name.clone(), limits.connections)).collect();
         if !self.owners.update(OwnerInput { nodes, clusters }) {
@@ -169,7 +169,7 @@
         let all: Vec<Name> = self.table.clusters.keys().cloned().collect();
         let owned = all.iter().filter(|cluster| self.owns_links(cluster)).count();
         let record = fields![
-            "nodes" => u64::from(self.roster.live()),
+            "nodes" => u64::from(self.registry.live()),
             "clusters" => u64::try_from(all.len()).unwrap_or(u64::MAX),
             "owned" => u64::try_from(owned).unwrap_or(u64::MAX)
         ];
@@ -195,12 +195,12 @@
     /// Returns how many nodes keep connections to a cluster's databases.
     pub(crate) fn owner_count(&self, cluster: &Name) -> u32 {
         let owners = self.owners.of(cluster).map(<[Name]>::len);
-        owners.map_or(self.roster.live(), |count| u32::try_from(count).unwrap_or(u32::MAX))
+        owners.map_or(self.registry.live(), |count| u32::try_from(count).unwrap_or(u32::MAX))
     }
 
     /// Returns this node's place among the owners of a cluster, for work that one of them does.
     pub(crate) fn owner_place(&self, cluster: &Name) -> u64 {
         let place = self.owners.place(cluster, &self.settings.node);
-        place.map_or(u64::from(self.roster.live()), |place| place as u64)
+        place.map_or(u64::from(self.registry.live()), |place| place as u64)
     }
 }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -57,12 +57,13 @@
             return true;
         }
         let Some(owners) = self.owners.of(cluster) else { return false };
-        self.is_in_touch()
+        self.has_store_contact()
             && !contacts.is_isolated()
             && owners.iter().any(|node| {
-                let record = self.roster.last_known(node);
+                let record = self.registry.last_known(node);
                 *node != self.settings.node
-                    && record.is_some_and(|record| !record.complaints.contains(cluster.as_str()))
+                    && record
+                        .is_some_and(|record| !record.suspected_clusters.contains(cluster.as_str()))
                     && !contacts.silent.contains(node)
                     && !self.peers.refused.contains_key(&(node.clone(), cluster.clone()))
             })
@@ -77,7 +78,7 @@
             let Some(node) = &entry.peer else { continue };
             if entry.answered.is_some_and(|at| now < at + UNRESPONSIVE) {
                 heard.insert(node.clone());
-                let centre = self.roster.get(node).map(|record| record.data_centre.as_str());
+                let centre = self.registry.get(node).map(|record| record.data_centre.as_str());
                 contacts.hears_others |= centre != Some(self.settings.data_centre.as_str());
             } else if !entry.is_responsive(now) {
                 contacts.silent.insert(node.clone());
@@ -118,17 +119,17 @@
         let refused_time = if owners.is_some() { OWNER_PAUSE } else { REFUSED_TIME };
         let candidates: Vec<&Name> = match owners {
             Some(owners) => owners.iter().take(end).collect(),
-            None => self.roster.others().map(|(node, _)| node).collect(),
+            None => self.registry.others().map(|(node, _)| node).collect(),
         };
         let mut best = None;
         for (place, node) in candidates.into_iter().enumerate() {
-            let Some(record) = self.roster.last_known(node) else { continue };
+            let Some(record) = self.registry.last_known(node) else { continue };
             let Some(address) = record.peer_address else { continue };
             let name = entry_name(node, client_database);
             let refused = self.peers.refused.get(&(node.clone(), cluster.clone()));
             let entry = self.databases.get(&name);
             if *node == self.settings.node
-                || record.complaints.contains(cluster.as_str())
+                || record.suspected_clusters.contains(cluster.as_str())
                 || refused.is_some_and(|at| self.now < *at + refused_time)
                 || work.avoided.contains(&name)
                 || entry.is_some_and(|entry| !entry.is_responsive(self.now))
@@ -137,7 +138,7 @@
             }
             let cost = match owners {
                 // An owner that has just started has no connections yet.
-                Some(_) => (u32::from(self.roster.is_standby(node)), place),
+                Some(_) => (u32::from(self.registry.is_standby(node)), place),
                 None => {
                     let near = record.data_centre == self.settings.data_centre.as_str();
                     let detour = if near { 0 } else { DETOUR_LOAD };
@@ -215,7 +216,7 @@
     }
 
     /// Removes the entries of nodes that are gone or were not used for a while.
-    pub(crate) fn tend_peers(&mut self) {
+    pub(crate) fn maintain_peers(&mut self) {
         let now = self.now;
         self.probe_peers();
         self.leave_silent_peers();
@@ -226,7 +227,7 @@
                 Some(node) => {
                     let used = entry.answered.unwrap_or_default().max(entry.chosen);
                     let idle = entry.load() == 0 && now >= used + UNUSED_TIME;
-                    idle || self.roster.last_known(node).is_none()
+                    idle || self.registry.last_known(node).is_none()
                 }
                 None => false,
             })
--- a/crates/gate/src/ready.rs
+++ b/crates/gate/src/ready.rs
@@ -48,7 +48,7 @@
         }
         let cut_off = self.ready.cut_off;
         let was_ready = self.ready.ready;
-        let isolated = contacts.is_isolated() || !self.is_in_touch();
+        let isolated = contacts.is_isolated() || !self.has_store_contact();
         let patience = if isolated { ISOLATED_TIME } else { CUT_OFF_TIME };
         let kept = was_ready && cut_off.is_some_and(|since| now < since + patience);
         let ready = clusters > 0 && self.drain.since.is_none() && (cut_off.is_none() || kept);
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -11,7 +11,7 @@
 
 use crate::action::GateAction;
 use crate::event::NodeRole;
-use crate::roster::NodeRecord;
+use crate::registry::NodeRecord;
 use crate::{Gate, fields};
 
 /// Least time between two publications of this node's registration.
@@ -19,10 +19,10 @@
 
 /// Time after the first list for which a node that found no other stays a standby. Nodes that start together
 /// register meanwhile; otherwise each of many would own connections for a moment.
-const SETTLE_TIME: Micros = Micros::from_millis(1_000);
+const STARTUP_GRACE: Micros = Micros::from_millis(1_000);
 
 /// Time after which an owner of connections registers as one although it knows no primary: others may not either.
-const WARM_TIME: Micros = Micros::from_millis(500);
+const WARM_UP_TIMEOUT: Micros = Micros::from_millis(500);
 
 /// What this node last published.
 #[derive(Debug, Default)]
@@ -41,18 +41,18 @@
 impl Gate {
     /// Notes that the list of nodes was read.
     pub(crate) fn nodes_listed(&mut self) {
-        let others = self.roster.others().next().is_some();
+        let others = self.registry.others().next().is_some();
         self.registration.listed.get_or_insert((self.now, others));
         self.update_owners();
     }
 
     /// Publishes the registration if it has changed.
-    pub(crate) fn tend_registration(&mut self, complaints: BTreeSet<String>) {
+    pub(crate) fn maintain_registration(&mut self, suspected_clusters: BTreeSet<String>) {
         let now = self.now;
         let Some((listed, others)) = self.registration.listed else { return };
-        let settled = others || self.fleet.is_known() || now >= listed + SETTLE_TIME;
+        let settled = others || self.fleet.is_known() || now >= listed + STARTUP_GRACE;
         let owns = self.table.clusters.keys().any(|cluster| self.owns_links(cluster));
-        let warm = self.registration.role == NodeRole::Owner || self.is_warm();
+        let warm = self.registration.role == NodeRole::Owner || self.is_warmed_up();
         let role = match self.registration.role {
             // What is in flight still needs the permit.
             role if self.drain.since.is_some() => role,
@@ -63,10 +63,10 @@
             self.registration.role = role;
             self.registration.number += 1;
             self.registration.record = None;
-            self.permit_lost();
+            self.read_lease_lost();
             self.log("role", fields!["owner" => role == NodeRole::Owner]);
         }
-        let record = self.node_record(complaints);
+        let record = self.node_record(suspected_clusters);
         let state = &self.registration;
         let due = state.record.is_none() || now >= state.published + PUBLISH_INTERVAL;
         if due && state.record.as_ref() != Some(&record) {
@@ -75,7 +75,7 @@
     }
 
     /// Tells whether this node can serve most clusters that it owns connections of, or has tried for long.
-    fn is_warm(&mut self) -> bool {
+    fn is_warmed_up(&mut self) -> bool {
         let owned = self.table.clusters.keys().filter(|cluster| self.owns_links(cluster));
         let (mut count, mut usable) = (0, 0);
         for cluster in owned {
@@ -87,26 +87,26 @@
             return false;
         }
         let since = *self.registration.owning.get_or_insert(self.now);
-        usable * 2 > count || self.now >= since + WARM_TIME
+        usable * 2 > count || self.now >= since + WARM_UP_TIMEOUT
     }
 
     /// Publishes the registration now, as it acknowledges an announcement.
     pub(crate) fn acknowledge_announcement(&mut self) {
         let last = self.registration.record.as_ref();
-        if let Some(complaints) = last.map(|record| record.complaints.clone())
+        if let Some(suspected_clusters) = last.map(|record| record.suspected_clusters.clone())
             && self.registration.role == NodeRole::Owner
         {
-            let record = self.node_record(complaints);
+            let record = self.node_record(suspected_clusters);
             self.publish(record);
         }
     }
 
-    fn node_record(&self, complaints: BTreeSet<String>) -> NodeRecord {
+    fn node_record(&self, suspected_clusters: BTreeSet<String>) -> NodeRecord {
         NodeRecord {
             process: self.settings.process,
-            complaints,
-            seen: match self.registration.role {
-                NodeRole::Owner => self.permit.seen,
+            suspected_clusters,
+            acknowledged: match self.registration.role {
+                NodeRole::Owner => self.read_lease.acknowledged,
                 NodeRole::Standby => 0,
             },
             peer_address: self.settings.peer_address,
--- a/crates/gate/src/roster.rs
+++ b/crates/gate/src/registry.rs
@@ -15,7 +15,7 @@
 use crate::event::NodeRole;
 
 /// Time for which the record of a node that left is kept: longer than its owners are kept after a lapse.
-const FORMER_TIME: Micros = Micros::from_millis(10_000);
+const FORMER_NODE_TTL: Micros = Micros::from_millis(10_000);
 
 /// A node's registration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,10 +23,11 @@
     /// Distinguishes processes that ran under the same name.
     pub process: u64,
     /// Clusters whose primary the node cannot use.
-    pub complaints: BTreeSet<String>,
+    #[serde(rename = "complaints")]
+    pub suspected_clusters: BTreeSet<String>,
     /// Revision of the newest announcement of changes that the node acts on.
-    #[serde(default)]
-    pub seen: u64,
+    #[serde(default, rename = "seen")]
+    pub acknowledged: u64,
     /// Where the node takes forwarded requests.
     #[serde(default)]
     pub peer_address: Option<SocketAddr>,
@@ -42,26 +43,26 @@
 
 /// The registered nodes.
 #[derive(Debug)]
-pub(crate) struct NodeRoster {
+pub(crate) struct NodeRegistry {
     own: Name,
     /// Nodes that may hold a permit.
     owners: FastMap<Name, NodeRecord>,
     standbys: FastMap<Name, NodeRecord>,
     /// When owners were last seen to leave; they may still hold a permit.
-    departed: Option<Micros>,
+    last_departure: Option<Micros>,
     /// Last records of nodes that left, and when. Their leases may have ended while they run.
-    former: FastMap<Name, (Micros, NodeRecord)>,
+    former_nodes: FastMap<Name, (Micros, NodeRecord)>,
 }
 
-impl NodeRoster {
+impl NodeRegistry {
     /// Creates a roster that knows only this node.
     pub fn new(own: Name) -> Self {
-        NodeRoster {
+        NodeRegistry {
             own,
             owners: FastMap::default(),
             standbys: FastMap::default(),
-            departed: None,
-            former: FastMap::default(),
+            last_departure: None,
+            former_nodes: FastMap::default(),
         }
     }
 
@@ -71,7 +72,7 @@
             NodeRole::Owner => &mut self.owners,
             NodeRole::Standby => &mut self.standbys,
         };
-        self.former.remove(&node);
+        self.former_nodes.remove(&node);
         nodes.insert(node, record);
     }
 
@@ -80,17 +81,17 @@
         match role {
             NodeRole::Owner => {
                 if let Some(record) = self.owners.remove(node) {
-                    self.departed = Some(now);
-                    self.former.insert(node.clone(), (now, record));
+                    self.last_departure = Some(now);
+                    self.former_nodes.insert(node.clone(), (now, record));
                 }
             }
             NodeRole::Standby => {
                 if let Some(record) = self.standbys.remove(node) {
-                    self.former.insert(node.clone(), (now, record));
+                    self.former_nodes.insert(node.clone(), (now, record));
                 }
             }
         }
-        self.former.retain(|_, (left, _)| now < *left + FORMER_TIME);
+        self.former_nodes.retain(|_, (left, _)| now < *left + FORMER_NODE_TTL);
     }
 
     /// Removes the registrations that a list does not name.
@@ -104,8 +105,8 @@
     }
 
     /// Returns when a node last left.
-    pub fn departed(&self) -> Option<Micros> {
-        self.departed
+    pub fn last_departure(&self) -> Option<Micros> {
+        self.last_departure
     }
 
     /// Returns the number of nodes, this one included.
@@ -127,7 +128,7 @@
 
     /// Returns a node's last record, also if it has left a short while ago.
     pub fn last_known(&self, node: &Name) -> Option<&NodeRecord> {
-        self.get(node).or_else(|| self.former.get(node).map(|(_, record)| record))
+        self.get(node).or_else(|| self.former_nodes.get(node).map(|(_, record)| record))
     }
 
     /// Returns a node's record.
@@ -155,16 +156,16 @@
     }
 
     /// Tells whether a node has acknowledged an announcement.
-    pub fn has_seen(&self, node: &Name, announced: u64) -> bool {
-        self.owners.get(node).is_some_and(|record| record.seen >= announced)
+    pub fn has_acknowledged(&self, node: &Name, announced: u64) -> bool {
+        self.owners.get(node).is_some_and(|record| record.acknowledged >= announced)
     }
 
     /// Returns the nodes that complain about a cluster, in the order in which they should act.
-    pub fn complaining(&self, cluster: &Name) -> Vec<Name> {
+    pub fn suspecting_nodes(&self, cluster: &Name) -> Vec<Name> {
         let mut nodes: Vec<Name> = self
             .owners
             .iter()
-            .filter(|(_, record)| record.complaints.contains(cluster.as_str()))
+            .filter(|(_, record)| record.suspected_clusters.contains(cluster.as_str()))
             .map(|(name, _)| name.clone())
             .collect();
         nodes.sort_by_key(|name| Reverse(owner_score(cluster, name)));
@@ -172,7 +173,7 @@
     }
 
     /// Spreads the nodes evenly over a number of choices.
-    pub fn turn(&self, choices: usize) -> usize {
+    pub fn choice_index(&self, choices: usize) -> usize {
         let before = self.owners.keys().filter(|name| **name < self.own).count();
         before.checked_rem(choices).unwrap_or_default()
     }
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -10,51 +10,51 @@
 
 /// Silence of a primary after which a node complains: above the longest queue seen at a database, below
 /// half of the time within which a write is of use.
-const SILENCE: Micros = Micros::from_millis(500);
+const PRIMARY_SILENCE_TIMEOUT: Micros = Micros::from_millis(500);
 
 /// Time after which a commit without an answer means that the primary has lost its replicas, if the primary
 /// answers reports meanwhile.
-const COMMIT_STALL: Micros = Micros::from_millis(900);
+const COMMIT_STALL_TIMEOUT: Micros = Micros::from_millis(900);
 
 /// Time without a primary after which a node complains.
-const LEADERLESS: Micros = Micros::from_millis(1_200);
+const NO_PRIMARY_TIMEOUT: Micros = Micros::from_millis(1_200);
 
 /// The same while a database that claims to lead can be reached but has not reported yet, as when all its
 /// connections are taken: the databases drop those of dead nodes after 3 s.
-const UNREPORTED: Micros = Micros::from_millis(4_500);
+const UNREPORTED_PRIMARY_TIMEOUT: Micros = Micros::from_millis(4_500);
 
 /// Time since a primary's last answer after which another node's complaint about it is checked.
-const COMPLAINT_CHECK: Micros = Micros::from_millis(100);
+const SUSPICION_PROBE_DELAY: Micros = Micros::from_millis(100);
 
 /// Time after which a fence that no announced change explains is lifted.
-const LEFT_FENCED: Micros = Micros::from_millis(700);
+const STALE_FENCE_TIMEOUT: Micros = Micros::from_millis(700);
 
 /// A node complains only if a replica answered within this time; otherwise it is itself cut off.
-const REPLICA_HEARD: Micros = Micros::from_millis(900);
+const REPLICA_CONTACT_TIMEOUT: Micros = Micros::from_millis(900);
 
 /// More than one node in this many has to complain before a primary is replaced, so that the nodes of one
 /// data centre that is cut off cannot move it.
-const COMPLAINT_SHARE: u32 = 3;
+const SUSPICION_QUORUM_DIVISOR: u32 = 3;
 
 /// Time between the moments at which successive nodes would act.
-const STAGGER: Micros = Micros::from_millis(600);
+const STAGGER_INTERVAL: Micros = Micros::from_millis(600);
 
 impl Gate {
     /// Returns why a cluster's primary should be replaced, as far as this node can tell alone.
-    pub(crate) fn complaint(&mut self, cluster: &Name) -> Option<&'static str> {
+    pub(crate) fn suspicion_reason(&mut self, cluster: &Name) -> Option<&'static str> {
         let now = self.now;
         if !self.owns_links(cluster) {
             return None;
         }
         let state = self.clusters.get(cluster)?;
-        let leader = state.evidence.leader().cloned();
+        let leader = state.proof.leader().cloned();
         let heard = state.members.iter().any(|name| {
             Some(name) != leader.as_ref()
                 && self.databases.get(name).is_some_and(|database| {
-                    database.answered.is_some_and(|at| now < at + REPLICA_HEARD)
+                    database.answered.is_some_and(|at| now < at + REPLICA_CONTACT_TIMEOUT)
                 })
         });
-        if !heard || !self.is_steady() {
+        if !heard || !self.has_stable_contact() {
             return None;
         }
         let Some(leader) = leader else {
@@ -65,15 +65,15 @@
                         && database.is_usable(now)
                 })
             });
-            let limit = if claimed { UNREPORTED } else { LEADERLESS };
+            let limit = if claimed { UNREPORTED_PRIMARY_TIMEOUT } else { NO_PRIMARY_TIMEOUT };
             return (now >= since + limit).then_some("no primary");
         };
         self.failovers.no_primary_since.remove(cluster);
         let Some(database) = self.databases.get(&leader) else { return Some("primary gone") };
-        if database.silent_since().is_some_and(|since| now >= since + SILENCE) {
+        if database.silent_since().is_some_and(|since| now >= since + PRIMARY_SILENCE_TIMEOUT) {
             return Some("primary silent");
         }
-        if state.commit_overdue.is_some_and(|since| now >= since + COMMIT_STALL) {
+        if state.commit_overdue.is_some_and(|since| now >= since + COMMIT_STALL_TIMEOUT) {
             return Some("commits stalled");
         }
         None
@@ -81,19 +81,19 @@
 
     /// Asks a primary that other nodes complain about for a report, and a replica, since only a node that hears one
     /// complains. The first owner notices a primary's silence by the requests; the others send none.
-    fn check_complaint(&mut self, cluster: &Name) {
+    fn verify_suspicion(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(state) = self.clusters.get(cluster) else { return };
-        let Some(leader) = state.evidence.leader() else { return };
+        let Some(leader) = state.proof.leader() else { return };
         let quiet = |name: &Name| {
             self.databases.get(name).is_some_and(|database| {
                 database.report_asked.is_none()
-                    && database.answered.is_none_or(|at| now >= at + COMPLAINT_CHECK)
+                    && database.answered.is_none_or(|at| now >= at + SUSPICION_PROBE_DELAY)
             })
         };
         if !quiet(leader)
             || !self.owns_links(cluster)
-            || self.roster.complaining(cluster).is_empty()
+            || self.registry.suspecting_nodes(cluster).is_empty()
         {
             return;
         }
@@ -108,8 +108,8 @@
     /// fenced them.
     pub(crate) fn has_stale_fences(&self, cluster: &Name) -> bool {
         let Some(state) = self.clusters.get(cluster) else { return false };
-        let since = state.evidence.fenced_since();
-        since.is_some_and(|since| self.now >= since + LEFT_FENCED)
+        let since = state.proof.fenced_since();
+        since.is_some_and(|since| self.now >= since + STALE_FENCE_TIMEOUT)
             && !self.is_announced(cluster)
             && self.usable_leader(cluster).is_some()
     }
@@ -117,7 +117,7 @@
     /// Tells whether a cluster's primary is leaving and another database can replace it.
     pub(crate) fn can_replace_leaving_primary(&self, cluster: &Name) -> bool {
         let Some(state) = self.clusters.get(cluster) else { return false };
-        let Some(leader) = state.evidence.leader() else { return false };
+        let Some(leader) = state.proof.leader() else { return false };
         let leaving = self.databases.get(leader).is_some_and(|database| database.listed.leaving);
         leaving
             && state.members.iter().any(|name| {
@@ -131,22 +131,22 @@
     /// Publishes complaints, starts changes that are due, and moves on those that run.
     pub(crate) fn maintain_failovers(&mut self) {
         let clusters: Vec<Name> = self.clusters.keys().cloned().collect();
-        let mut complaints = BTreeSet::new();
+        let mut suspected_clusters = BTreeSet::new();
         for cluster in &clusters {
-            self.check_complaint(cluster);
-            let complaint = self.complaint(cluster);
-            if let Some(reason) = complaint {
+            self.verify_suspicion(cluster);
+            let suspicion_reason = self.suspicion_reason(cluster);
+            if let Some(reason) = suspicion_reason {
                 if self.failovers.suspected.insert(cluster.clone(), reason) != Some(reason) {
                     let record = fields!["cluster" => cluster, "reason" => reason];
                     self.log("primary_suspected", record);
                 }
-                complaints.insert(cluster.to_string());
+                suspected_clusters.insert(cluster.to_string());
             } else {
                 self.failovers.suspected.remove(cluster);
             }
-            self.start_failover_if_due(cluster, complaint);
+            self.start_failover_if_due(cluster, suspicion_reason);
         }
-        self.tend_registration(complaints);
+        self.maintain_registration(suspected_clusters);
         for cluster in clusters {
             self.step_failover(&cluster);
         }
@@ -156,24 +156,24 @@
     pub(crate) fn start_failover_if_due(
         &mut self,
         cluster: &Name,
-        complaint: Option<&'static str>,
+        suspicion_reason: Option<&'static str>,
     ) {
         let now = self.now;
         if self.failovers.running.contains_key(cluster)
             || self.failovers.backoff_until.get(cluster).is_some_and(|until| now < *until)
             || self.drain.since.is_some()
-            || !self.knows_list()
+            || !self.has_complete_list()
         {
             return;
         }
-        let only_lifts_fences = self.has_stale_fences(cluster) && complaint.is_none();
+        let only_lifts_fences = self.has_stale_fences(cluster) && suspicion_reason.is_none();
         let (reason, place) = if only_lifts_fences {
             ("fences left", self.owner_place(cluster))
         } else if self.can_replace_leaving_primary(cluster) {
             ("primary leaving", self.owner_place(cluster))
-        } else if let Some(reason) = complaint {
-            let nodes = self.roster.complaining(cluster);
-            let needed = (self.owner_count(cluster) / COMPLAINT_SHARE + 1) as usize;
+        } else if let Some(reason) = suspicion_reason {
+            let nodes = self.registry.suspecting_nodes(cluster);
+            let needed = (self.owner_count(cluster) / SUSPICION_QUORUM_DIVISOR + 1) as usize;
             let place = nodes.iter().position(|name| *name == self.settings.node);
             match place {
                 Some(place) if nodes.len() >= needed => (reason, place as u64),
@@ -189,11 +189,13 @@
         let due = *self.failovers.due_since.entry(cluster.clone()).or_insert(now);
         // Nobody else can act while this node holds the duty.
         let place = if self.promotion_lease.fencing_token(now).is_some() { 0 } else { place };
-        if now < due + Micros(STAGGER.0 * place) || self.promotion_lease.is_held_elsewhere(now) {
+        if now < due + Micros(STAGGER_INTERVAL.0 * place)
+            || self.promotion_lease.is_held_elsewhere(now)
+        {
             return;
         }
         let Some(state) = self.clusters.get(cluster) else { return };
-        let old = state.evidence.leader().cloned();
+        let old = state.proof.leader().cloned();
         let highest = state
             .members
             .iter()
@@ -201,7 +203,7 @@
             .map(|report| report.term.max(report.fence))
             .max()
             .unwrap_or_default();
-        let term = state.evidence.term().next().max(highest);
+        let term = state.proof.term().next().max(highest);
         self.log(
             "takeover_started",
             fields![
--- a/crates/gate/src/work.rs
+++ b/crates/gate/src/work.rs
@@ -165,7 +165,7 @@
         let since = covered_since(route.freshness, begun);
         if !for_leader
             && let Some(since) = since
-            && let Some(point) = cluster.evidence.sample(since)
+            && let Some(point) = cluster.proof.proved_position(since)
         {
             let after = Some(point).max(self.session_floor(id));
             if let Some(replica) = self.choose_replica(id, &route.cluster, after) {
@@ -188,12 +188,12 @@
             let text = "not run, no connection to the primary is free, retry after 150 ms";
             return self.refuse(id, self.unable_code(id), text);
         }
-        self.apply_permit(&route.cluster);
+        self.apply_read_lease(&route.cluster);
         if need.is_none_or(|need| self.is_proved(&route.cluster, &leader, need)) {
             return self.queue_at(id, leader, None, need);
         }
-        if self.permit().is_none()
-            && !self.can_witness(&route.cluster)
+        if self.read_lease_acquired().is_none()
+            && !self.can_request_proof(&route.cluster)
             && let Some(peer) = self.choose_peer(id)
         {
             return self.queue_at(id, peer, self.session_floor(id), None);
@@ -206,7 +206,7 @@
         if let Some(state) = self.clusters.get_mut(&route.cluster) {
             state.proving.push(id);
         }
-        self.want_proof(&route.cluster, need.unwrap_or(begun));
+        self.request_proof(&route.cluster, need.unwrap_or(begun));
     }
 
     /// Keeps a request at a node that only forwards until an owner may be able to serve it.
@@ -246,9 +246,9 @@
     }
 
     /// Tells whether a replica could prove that the leader leads.
-    fn can_witness(&self, cluster: &Name) -> bool {
+    fn can_request_proof(&self, cluster: &Name) -> bool {
         let Some(state) = self.clusters.get(cluster) else { return false };
-        let leader = state.evidence.leader();
+        let leader = state.proof.leader();
         state.members.iter().any(|name| {
             Some(name) != leader
                 && self.databases.get(name).is_some_and(|database| {
@@ -258,17 +258,17 @@
     }
 
     pub(crate) fn is_proved(&self, cluster: &Name, database: &Name, need: Micros) -> bool {
-        self.clusters.get(cluster).is_some_and(|state| state.evidence.proves(database, need))
+        self.clusters.get(cluster).is_some_and(|state| state.proof.proves(database, need))
     }
 
     /// Returns the leader if requests that need it can be expected to be served.
     pub(crate) fn usable_leader(&self, cluster: &Name) -> Option<Name> {
         let state = self.clusters.get(cluster)?;
-        let replaced = state.announced_term.is_some_and(|term| state.evidence.term() > term);
+        let replaced = state.announced_term.is_some_and(|term| state.proof.term() > term);
         if self.is_announced(cluster) && !replaced {
             return None;
         }
-        let leader = state.evidence.leader()?;
+        let leader = state.proof.leader()?;
         let database = self.databases.get(leader)?;
         database.is_responsive(self.now).then(|| leader.clone())
     }
@@ -277,7 +277,7 @@
     fn choose_replica(&self, id: WorkId, cluster: &Name, after: Option<LogPoint>) -> Option<Name> {
         let work = self.works.get(&id)?;
         let state = self.clusters.get(cluster)?;
-        let leader = state.evidence.leader();
+        let leader = state.proof.leader();
         let preferred = self.preferred_replica(state);
         let mut best: Option<(u64, Name)> = None;
         for name in &state.members {
@@ -372,7 +372,7 @@
             let text = "not run, no connection to the databases is free, retry after 150 ms";
             return self.refuse(id, ErrorCode::Busy, text);
         }
-        if now >= state.leader_missed.unwrap_or(now) + crate::cluster::CHANGE_TIME {
+        if now >= state.leader_missed.unwrap_or(now) + crate::cluster::FAILOVER_WAIT {
             return self.refuse(
                 id,
                 ErrorCode::Busy,
--- a/crates/gate/tests/leadership.rs
+++ b/crates/gate/tests/leadership.rs
@@ -158,7 +158,7 @@
     let promoted = world.promotions[0].0;
     let ended = world.logs.iter().find(|(_, _, record)| record.event == "lease_ended");
     let (ended, ..) = ended.expect("the lease of node 0 is ended");
-    assert!(promoted >= *ended + gate::PERMIT_TIME);
+    assert!(promoted >= *ended + gate::READ_LEASE_TTL);
 }
 
 #[test]
--- /dev/null
+++ b/crates/gate/tests/leadership_proof.rs
@@ -0,0 +1,36 @@
+//! Evidence that a primary leads.
+
+use gate::{DatabaseReport, DatabaseRole, LeadershipProof, LogPoint};
+use model::{Micros, Name, Term};
+
+fn report(role: DatabaseRole, term: u64, number: u64) -> DatabaseReport {
+    DatabaseReport {
+        role,
+        term: Term(term),
+        received: LogPoint { term: Term(term), number },
+        fence: Term(0),
+        lag: Micros::ZERO,
+        connections: 1,
+    }
+}
+
+/// A replaced primary makes itself a replica once it reaches its successor, and may report so before it
+/// reports the new term. That proves nothing of its own term: it was over already.
+#[test]
+fn a_former_primary_is_no_witness_of_its_own_term() {
+    let (old, replica) = (Name::from("a"), Name::from("b"));
+    let mut proof = LeadershipProof::default();
+    proof.report(&old, Micros(10), &report(DatabaseRole::Primary, 1, 5));
+    proof.report(&replica, Micros(20), &report(DatabaseRole::Replica, 1, 5));
+    assert!(proof.proves(&old, Micros(20)));
+    // A position seen while the node was alone with the old primary.
+    let point = LogPoint { term: Term(1), number: 9 };
+    proof.observe_leader_position(&old, Micros(500_000), point);
+    proof.report(&old, Micros(600_000), &report(DatabaseRole::Replica, 1, 9));
+    assert_eq!(proof.leader(), None);
+    assert_eq!(proof.proved_position(Micros(400_000)), None, "the position is not proved");
+    assert!(proof.confirmed_at() < Some(Micros(500_000)));
+    proof.report(&replica, Micros(700_000), &report(DatabaseRole::Replica, 2, 7));
+    proof.report(&replica, Micros(700_000), &report(DatabaseRole::Primary, 2, 7));
+    assert_eq!(proof.leader(), Some(&replica));
+}
