--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::database::{CommandPurpose, Database};
 use crate::event::{LinkId, ListedDatabase};
 use crate::leadership_proof::LeadershipProof;
-use crate::work::{WorkId, WorkStage};
+use crate::request::{RequestStage, WorkId};
 use crate::{Gate, fields};
 
 /// Time within which a change of primary is expected to be over; requests wait for it this long and are
@@ -36,9 +36,9 @@
     pub(crate) members: Vec<Name>,
     pub(crate) proof: LeadershipProof,
     /// Requests that wait for a leader.
-    pub(crate) parked: Vec<WorkId>,
+    pub(crate) waiting_for_leader: Vec<WorkId>,
     /// Requests that wait for proof of the leader.
-    pub(crate) proving: Vec<WorkId>,
+    pub(crate) waiting_for_proof: Vec<WorkId>,
     /// Since when no usable leader is known, while requests need one.
     pub(crate) leader_missed: Option<Micros>,
     /// Latest time that a proof is needed for.
@@ -300,42 +300,46 @@
                 self.ask_all(&cluster);
             }
         }
-        self.wake_proving(&cluster);
-        self.wake_parked(&cluster);
+        self.wake_waiting_for_proof(&cluster);
+        self.wake_waiting_for_leader(&cluster);
         if let Some(need) = self.clusters.get(&cluster).and_then(|state| state.proof_needed_since) {
             self.request_proof(&cluster, need);
         }
     }
 
     /// Routes the requests whose leader is proved now, or is no longer known.
-    pub(crate) fn wake_proving(&mut self, cluster: &Name) {
+    pub(crate) fn wake_waiting_for_proof(&mut self, cluster: &Name) {
         self.apply_read_lease(cluster);
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         let confirmed = state.proof.confirmed_at();
         let lost = state.proof.leader().is_none();
-        for id in std::mem::take(&mut state.proving) {
-            let Some(work) = self.works.get(&id) else { continue };
-            if work.stage != WorkStage::Proving {
+        for id in std::mem::take(&mut state.waiting_for_proof) {
+            let Some(request) = self.requests.get(&id) else { continue };
+            if request.stage != RequestStage::WaitingForProof {
                 continue;
             }
-            if lost || confirmed >= work.need {
-                self.route_work(id);
+            if lost || confirmed >= request.need {
+                self.route_request(id);
             } else if let Some(state) = self.clusters.get_mut(cluster) {
-                state.proving.push(id);
+                state.waiting_for_proof.push(id);
             }
         }
     }
 
     /// Routes the requests that waited for a leader.
-    pub(crate) fn wake_parked(&mut self, cluster: &Name) {
+    pub(crate) fn wake_waiting_for_leader(&mut self, cluster: &Name) {
         if self.usable_leader(cluster).is_none() {
             return;
         }
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         state.leader_missed = None;
-        for id in std::mem::take(&mut state.parked) {
-            if self.works.get(&id).is_some_and(|work| work.stage == WorkStage::Parked) {
-                self.route_work(id);
+        for id in std::mem::take(&mut state.waiting_for_leader) {
+            if self
+                .requests
+                .get(&id)
+                .is_some_and(|request| request.stage == RequestStage::WaitingForLeader)
+            {
+                self.route_request(id);
             }
         }
     }
@@ -355,13 +359,17 @@
             self.request_proof(cluster, need);
         }
         self.probe_overdue(cluster);
-        self.wake_proving(cluster);
-        self.wake_parked(cluster);
+        self.wake_waiting_for_proof(cluster);
+        self.wake_waiting_for_leader(cluster);
         let usable = self.usable_leader(cluster).is_some();
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         if !usable && state.leader_missed.is_some_and(|since| now >= since + FAILOVER_WAIT) {
-            for id in std::mem::take(&mut state.parked) {
-                if self.works.get(&id).is_some_and(|work| work.stage == WorkStage::Parked) {
+            for id in std::mem::take(&mut state.waiting_for_leader) {
+                if self
+                    .requests
+                    .get(&id)
+                    .is_some_and(|request| request.stage == RequestStage::WaitingForLeader)
+                {
                     self.refuse(
                         id,
                         crate::ErrorCode::Busy,
@@ -372,7 +380,7 @@
         }
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         let unknown = state.proof.leader().is_none();
-        let doubtful = !state.proving.is_empty() || state.leader_missed.is_some();
+        let doubtful = !state.waiting_for_proof.is_empty() || state.leader_missed.is_some();
         if now >= state.next_search {
             if holds && (unknown || doubtful) {
                 let interval = if unknown { SEARCH_INTERVAL } else { UNRESPONSIVE_LEADER_INTERVAL };
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -7,9 +7,9 @@
 
 use crate::backend::{BackendCommand, DatabaseReport, LogPoint};
 use crate::event::{LinkId, ListedDatabase, SessionId};
+use crate::request::WorkId;
 use crate::route::RouteConfig;
 use crate::statement::StatementAccess;
-use crate::work::WorkId;
 
 /// Shares of the ranks in percent of slot time, and waiting requests for each. The floors are those of
 /// the project's own example configuration.
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -6,13 +6,13 @@
 use crate::backend::BackendCommand;
 use crate::database::CommandPurpose;
 use crate::event::{LinkId, SessionId};
+use crate::request::{RequestKind, RequestStage, WorkId};
 use crate::session::Transaction;
 use crate::statement::{ErrorCode, Statement};
-use crate::work::{WorkId, WorkKind, WorkStage};
 
 impl Gate {
     /// Grants idle connections of a database to waiting requests and opens connections as needed.
-    pub(crate) fn pump(&mut self, name: &Name) {
+    pub(crate) fn dispatch_queued(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
         let nodes = match database.peer {
@@ -31,15 +31,16 @@
             }
             let Some(grant) = database.queue.grant(now) else { break };
             let id = grant.work;
-            let Some(work) = self.works.get(&id) else {
+            let Some(request) = self.requests.get(&id) else {
                 database.queue.finish(now, id);
                 continue;
             };
-            let (session, cluster, need) = (work.session, work.route.cluster.clone(), work.need);
+            let (session, cluster, need) =
+                (request.session, request.route.cluster.clone(), request.need);
             if need.is_some_and(|need| !self.is_proved(&cluster, name, need)) {
                 // The leader was replaced while the request waited.
                 self.release_slot(id);
-                self.route_work(id);
+                self.route_request(id);
                 continue;
             }
             let Some(database) = self.databases.get_mut(name) else { return };
@@ -53,23 +54,23 @@
             });
             let Some(index) = best else { break };
             let link = database.idle.swap_remove(index);
-            self.dispatch_work(id, link);
+            self.dispatch_request(id, link);
         }
         self.open_links(name);
     }
 
     /// Sends a request on a connection that is free.
-    pub(crate) fn dispatch_work(&mut self, id: WorkId, link: LinkId) {
+    pub(crate) fn dispatch_request(&mut self, id: WorkId, link: LinkId) {
         let now = self.now;
-        let Some(work) = self.works.get_mut(&id) else { return };
-        work.link = Some(link);
-        work.sent = Some(now);
-        work.tries += 1;
-        work.stage = WorkStage::Sent;
-        match work.kind.clone() {
-            WorkKind::Begin { begin, .. } => {
-                let after = work.after;
-                let session = work.session;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.link = Some(link);
+        request.sent = Some(now);
+        request.tries += 1;
+        request.stage = RequestStage::Sent;
+        match request.kind.clone() {
+            RequestKind::Begin { begin, .. } => {
+                let after = request.after;
+                let session = request.session;
                 let Some(setup) = self.setup_commands(session, link) else { return };
                 self.send(link, setup, CommandPurpose::Setup);
                 if let Some(state) = self.links.get_mut(&link) {
@@ -78,7 +79,7 @@
                 let command = BackendCommand::Run { id: begin.id, text: begin.text, after };
                 self.send(link, vec![command], CommandPurpose::Begin(id));
             }
-            WorkKind::Read | WorkKind::Write | WorkKind::Continue => {
+            RequestKind::Read | RequestKind::Write | RequestKind::Continue => {
                 self.send_statement(id, link, true);
             }
         }
@@ -94,14 +95,14 @@
     }
 
     /// Sends the statement itself, behind the commands that give the connection the session's state.
-    pub(crate) fn send_statement(&mut self, id: WorkId, link: LinkId, outside: bool) {
-        let Some(work) = self.works.get_mut(&id) else { return };
-        work.sent = Some(self.now);
-        work.stage = WorkStage::Sent;
-        let after = if outside { work.after } else { None };
-        let (session, request) = (work.session, work.request.clone());
+    pub(crate) fn send_statement(&mut self, id: WorkId, link: LinkId, outside_transaction: bool) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.sent = Some(self.now);
+        request.stage = RequestStage::Sent;
+        let after = if outside_transaction { request.after } else { None };
+        let (session, client_request) = (request.session, request.client_request.clone());
         let Some(mut setup) = self.setup_commands(session, link) else { return };
-        let command = match &request.statement {
+        let command = match &client_request.statement {
             Statement::Execute { name, arguments } => {
                 let prepared = self.sessions.get(&session).and_then(|s| s.prepared.get(name));
                 let (Some((access, shape)), Some(state)) = (prepared, self.links.get_mut(&link))
@@ -110,29 +111,29 @@
                 };
                 let prepared = state.prepare(*access, shape, &mut setup);
                 let arguments = arguments.clone();
-                BackendCommand::Execute { id: request.id, prepared, arguments, after }
+                BackendCommand::Execute { id: client_request.id, prepared, arguments, after }
             }
-            _ => BackendCommand::Run { id: request.id, text: request.text, after },
+            _ => BackendCommand::Run { id: client_request.id, text: client_request.text, after },
         };
         self.send(link, setup, CommandPurpose::Setup);
         self.send(link, vec![command], CommandPurpose::Run(id));
     }
 
     pub(crate) fn continue_transaction(&mut self, id: WorkId) {
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let Some(session) = self.sessions.get(&work.session) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get(&request.session) else { return };
         let Transaction::Open(open) = &session.transaction else { return };
         let link = open.link;
         let lost = match self.links.get(&link) {
             Some(state) => state.doomed || !state.open,
             None => true,
         };
-        work.link = Some(link);
-        work.database = self.links.get(&link).map(|link| link.database.clone());
+        request.link = Some(link);
+        request.database = self.links.get(&link).map(|link| link.database.clone());
         if lost {
             return self.fail_transaction(id, ErrorCode::Aborted, "the connection was lost");
         }
-        work.tries += 1;
+        request.tries += 1;
         self.send_statement(id, link, false);
     }
 }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -56,7 +56,7 @@
                 .sessions
                 .iter()
                 .filter(|(_, session)| {
-                    session.work.is_none() && session.state() == SessionState::Open
+                    session.active_request.is_none() && session.state() == SessionState::Open
                 })
                 .map(|(id, _)| *id)
                 .collect();
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -35,8 +35,8 @@
                         .confirmed_at()
                         .map(|at| now.saturating_sub(at).as_millis()),
                     "change_announced": self.is_announced(name),
-                    "waiting_for_leader": state.parked.len(),
-                    "waiting_for_proof": state.proving.len(),
+                    "waiting_for_leader": state.waiting_for_leader.len(),
+                    "waiting_for_proof": state.waiting_for_proof.len(),
                 })
             })
             .collect();
@@ -65,7 +65,7 @@
             "data_centre": self.settings.data_centre,
             "configuration": self.table.version,
             "sessions": self.sessions.len(),
-            "requests": self.works.len(),
+            "requests": self.requests.len(),
             "nodes": self.registry.live(),
             "permit_held": self.read_lease_acquired().is_some(),
             "draining": self.drain.since.is_some(),
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -30,12 +30,12 @@
 mod ready;
 mod registration;
 mod registry;
+mod request;
 mod route;
 mod session;
 mod settings;
 mod statement;
 mod suspicion;
-mod work;
 
 use model::{FastMap, FastSet, Micros, Name};
 use serde::Serialize;
@@ -71,8 +71,8 @@
 use ready::ReadyState;
 use registration::RegistrationState;
 use registry::NodeRegistry;
+use request::{ActiveRequest, WorkId};
 use session::Session;
-use work::{Work, WorkId};
 
 /// Builds the fields of a log line.
 macro_rules! fields {
@@ -97,8 +97,8 @@
     last_id: u64,
     table: RouteTable,
     sessions: FastMap<SessionId, Session>,
-    works: FastMap<WorkId, Work>,
-    paused: Vec<WorkId>,
+    requests: FastMap<WorkId, ActiveRequest>,
+    backing_off: Vec<WorkId>,
     clusters: FastMap<Name, ClusterState>,
     databases: FastMap<Name, Database>,
     links: FastMap<LinkId, Link>,
@@ -142,8 +142,8 @@
             last_id: 0,
             table: RouteTable::default(),
             sessions: FastMap::default(),
-            works: FastMap::default(),
-            paused: Vec::new(),
+            requests: FastMap::default(),
+            backing_off: Vec::new(),
             clusters: FastMap::default(),
             databases: FastMap::default(),
             links: FastMap::default(),
@@ -217,7 +217,7 @@
     }
 
     fn tick(&mut self) {
-        self.check_works();
+        self.resume_and_expire_requests();
         self.maintain_connections();
         self.maintain_peers();
         self.maintain_fleet_count();
--- a/crates/gate/src/link.rs
+++ b/crates/gate/src/link.rs
@@ -7,8 +7,8 @@
 use crate::cluster::LEAVING_GRACE;
 use crate::database::{CommandPurpose, Link, PendingCommand, steady_share};
 use crate::event::LinkId;
+use crate::request::WorkId;
 use crate::statement::{ErrorCode, SessionState};
-use crate::work::WorkId;
 use crate::{Gate, fields};
 
 /// Time for opening a connection: the handshake behind a full queue.
@@ -134,7 +134,7 @@
             database.report_wanted = true;
         }
         self.answered(&name);
-        self.pump(&name);
+        self.dispatch_queued(&name);
     }
 
     pub(crate) fn link_refused(&mut self, link: LinkId, code: ErrorCode) {
@@ -199,11 +199,11 @@
         }
         for pending in &state.pending {
             match pending.purpose {
-                CommandPurpose::Begin(work) if self.is_waited_for(work, link) => {
-                    self.work_lost(work, false);
+                CommandPurpose::Begin(request) if self.is_waited_for(request, link) => {
+                    self.request_connection_lost(request, false);
                 }
-                CommandPurpose::Run(work) if self.is_waited_for(work, link) => {
-                    self.work_lost(work, true);
+                CommandPurpose::Run(request) if self.is_waited_for(request, link) => {
+                    self.request_connection_lost(request, true);
                 }
                 // The request was given up or sent elsewhere.
                 CommandPurpose::Begin(_) | CommandPurpose::Run(_) => {}
@@ -299,11 +299,11 @@
                     }
                 }
             }
-            CommandPurpose::Begin(work) if self.is_waited_for(work, link) => {
-                self.begin_answered(work, link, &answer);
+            CommandPurpose::Begin(request) if self.is_waited_for(request, link) => {
+                self.begin_answered(request, link, &answer);
             }
-            CommandPurpose::Run(work) if self.is_waited_for(work, link) => {
-                self.statement_answered(work, link, answer);
+            CommandPurpose::Run(request) if self.is_waited_for(request, link) => {
+                self.statement_answered(request, link, answer);
             }
             CommandPurpose::Begin(_) | CommandPurpose::Run(_) => {
                 self.orphan_answered(link, &answer)
@@ -346,7 +346,7 @@
         if !database.idle.contains(&link) {
             database.idle.push(link);
         }
-        self.pump(&name);
+        self.dispatch_queued(&name);
     }
 
     /// Returns a connection for a command that does not belong to a client, if one is open.
@@ -384,8 +384,8 @@
                 continue;
             };
             let limit = match pending.purpose {
-                CommandPurpose::Begin(work) | CommandPurpose::Run(work) => {
-                    if self.is_waited_for(work, *id) { Micros::MAX } else { ORPHAN_TIME }
+                CommandPurpose::Begin(request) | CommandPurpose::Run(request) => {
+                    if self.is_waited_for(request, *id) { Micros::MAX } else { ORPHAN_TIME }
                 }
                 CommandPurpose::Report
                 | CommandPurpose::Fence
@@ -426,11 +426,11 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.pump(&name);
+            self.dispatch_queued(&name);
         }
     }
 
-    fn is_waited_for(&self, work: WorkId, link: LinkId) -> bool {
-        self.works.get(&work).is_some_and(|work| work.link == Some(link))
+    fn is_waited_for(&self, request: WorkId, link: LinkId) -> bool {
+        self.requests.get(&request).is_some_and(|request| request.link == Some(link))
     }
 }
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -9,25 +9,28 @@
 use crate::action::{ClientReply, GateAction};
 use crate::backend::{AnswerEnd, BackendAnswer, LogPoint};
 use crate::event::LinkId;
+use crate::request::{
+    ActiveRequest, MAX_TRIES, OVERLOADED_TEXT, RequestKind, RequestStage, WorkId,
+};
 use crate::session::{OpenTransaction, Transaction};
 use crate::statement::{ErrorCode, SessionState, StatementAccess};
-use crate::work::{OVERLOADED_TEXT, TRY_LIMIT, Work, WorkId, WorkKind, WorkStage};
 use crate::{Gate, fields};
 
 /// Time without an answer after which a read is sent to another database: this many times what the database
 /// usually takes, within the bounds below. An answer can be lost while the connection stays.
-const READ_PATIENCE_FACTOR: u64 = 6;
-const READ_PATIENCE_LEAST: Micros = Micros::from_millis(120);
-const READ_PATIENCE_MOST: Micros = Micros::from_millis(400);
+const READ_TIMEOUT_FACTOR: u64 = 6;
+const READ_TIMEOUT_MIN: Micros = Micros::from_millis(120);
+const READ_TIMEOUT_MAX: Micros = Micros::from_millis(400);
 
 /// Pause before a request that a full database refused is sent again: about one statement.
-const BUSY_PAUSE: Micros = Micros::from_millis(15);
+const BUSY_BACKOFF: Micros = Micros::from_millis(15);
 
 impl Gate {
     /// Returns the slot that a request holds at its database.
     pub(crate) fn release_slot(&mut self, id: WorkId) {
-        let Some(work) = self.works.get(&id) else { return };
-        if let Some(database) = work.database.as_ref().and_then(|name| self.databases.get_mut(name))
+        let Some(request) = self.requests.get(&id) else { return };
+        if let Some(database) =
+            request.database.as_ref().and_then(|name| self.databases.get_mut(name))
         {
             database.queue.cancel(id);
             database.queue.finish(self.now, id);
@@ -36,8 +39,9 @@
 
     /// Returns the slot of a request whose answer is overdue or lost.
     pub(crate) fn abandon_slot(&mut self, id: WorkId) {
-        let Some(work) = self.works.get(&id) else { return };
-        if let Some(database) = work.database.as_ref().and_then(|name| self.databases.get_mut(name))
+        let Some(request) = self.requests.get(&id) else { return };
+        if let Some(database) =
+            request.database.as_ref().and_then(|name| self.databases.get_mut(name))
         {
             database.queue.abandon(self.now, id);
         }
@@ -46,7 +50,7 @@
     /// Tries a request again that did not run, or a read whose answer is of no use.
     ///
     /// `cause` is what the database said; the client is told `code` if this was the last try.
-    pub(crate) fn retry_work(
+    pub(crate) fn retry_request(
         &mut self,
         id: WorkId,
         pause: Option<Micros>,
@@ -55,10 +59,10 @@
     ) {
         self.release_slot(id);
         let now = self.now;
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let paused = now + pause.unwrap_or(Micros::ZERO);
-        work.link = None;
-        if work.tries >= TRY_LIMIT || paused >= work.deadline {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let retry_at = now + pause.unwrap_or(Micros::ZERO);
+        request.link = None;
+        if request.tries >= MAX_TRIES || retry_at >= request.deadline {
             return self.refuse(
                 id,
                 code,
@@ -66,37 +70,37 @@
             );
         }
         let fields = fields![
-            "request" => &work.request.id,
-            "database" => work.database.clone().unwrap_or_default().to_string(),
-            "tries" => u64::from(work.tries),
+            "request" => &request.client_request.id,
+            "database" => request.database.clone().unwrap_or_default().to_string(),
+            "tries" => u64::from(request.tries),
             "cause" => cause.name()
         ];
         match pause {
             Some(_) => {
-                work.stage = WorkStage::Paused(paused);
-                self.paused.push(id);
+                request.stage = RequestStage::BackingOff(retry_at);
+                self.backing_off.push(id);
             }
-            None => work.stage = WorkStage::Queued,
+            None => request.stage = RequestStage::Queued,
         }
         self.count("requests_retried");
         self.log("request_retried", fields);
         if pause.is_none() {
-            self.route_work(id);
+            self.route_request(id);
         }
     }
 
     /// Handles the answer to `BEGIN`.
     pub(crate) fn begin_answered(&mut self, id: WorkId, link: LinkId, answer: &BackendAnswer) {
-        let Some(work) = self.works.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else { return };
         match &answer.end {
             AnswerEnd::Done(_) => {
                 let open = OpenTransaction {
                     link,
-                    route: work.route.clone(),
+                    route: request.route.clone(),
                     wrote: false,
                     idle_since: self.now,
                 };
-                if let Some(session) = self.sessions.get_mut(&work.session) {
+                if let Some(session) = self.sessions.get_mut(&request.session) {
                     session.transaction = Transaction::Open(open);
                 }
                 self.release_slot(id);
@@ -107,33 +111,33 @@
                 if let Some(state) = self.links.get_mut(&link) {
                     state.pinned = None;
                 }
-                self.not_run(id, code);
+                self.request_declined(id, code);
             }
         }
     }
 
     /// A database said that a request outside an open transaction did not run.
-    pub(crate) fn not_run(&mut self, id: WorkId, code: ErrorCode) {
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let Some(database) = work.database.clone() else { return };
-        let cluster = work.route.cluster.clone();
+    pub(crate) fn request_declined(&mut self, id: WorkId, code: ErrorCode) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(database) = request.database.clone() else { return };
+        let cluster = request.route.cluster.clone();
         match code {
             ErrorCode::ReadOnly => {
                 if let Some(state) = self.clusters.get_mut(&cluster) {
                     state.proof.forget_leader(&database);
                 }
                 self.ask_all(&cluster);
-                self.retry_work(id, None, code, ErrorCode::Busy);
+                self.retry_request(id, None, code, ErrorCode::Busy);
             }
             ErrorCode::Lagging => {
-                work.avoided.push(database);
-                self.retry_work(id, None, code, ErrorCode::Busy);
+                request.excluded.push(database);
+                self.retry_request(id, None, code, ErrorCode::Busy);
             }
             ErrorCode::NoStatement => {
-                if let Some(link) = work.link.and_then(|link| self.links.get_mut(&link)) {
+                if let Some(link) = request.link.and_then(|link| self.links.get_mut(&link)) {
                     link.forget_prepared();
                 }
-                self.retry_work(id, None, code, ErrorCode::Busy);
+                self.retry_request(id, None, code, ErrorCode::Busy);
             }
             // The owner sees all requests of the cluster; another one would send to the same databases.
             ErrorCode::Busy if self.is_peer(&database) && self.owners.of(&cluster).is_some() => {
@@ -143,20 +147,21 @@
                 if code == ErrorCode::Misrouted {
                     self.peer_refused(&database, &cluster);
                 }
-                if let Some(work) = self.works.get_mut(&id) {
-                    work.avoided.push(database);
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.excluded.push(database);
                 }
-                self.retry_work(id, None, code, ErrorCode::Busy);
+                self.retry_request(id, None, code, ErrorCode::Busy);
             }
-            _ => self.retry_work(id, Some(BUSY_PAUSE), code, ErrorCode::Busy),
+            _ => self.retry_request(id, Some(BUSY_BACKOFF), code, ErrorCode::Busy),
         }
     }
 
     /// Handles the answer to a client's statement.
     pub(crate) fn statement_answered(&mut self, id: WorkId, link: LinkId, answer: BackendAnswer) {
-        let Some(work) = self.works.get(&id) else { return };
-        let in_transaction = matches!(work.kind, WorkKind::Begin { .. } | WorkKind::Continue);
-        let commit = work.is_commit();
+        let Some(request) = self.requests.get(&id) else { return };
+        let in_transaction =
+            matches!(request.kind, RequestKind::Begin { .. } | RequestKind::Continue);
+        let commit = request.is_commit();
         if commit
             && answer.state == SessionState::Idle
             && let Some(state) = self.links.get_mut(&link)
@@ -167,20 +172,20 @@
             AnswerEnd::Done(_) => self.statement_succeeded(id, answer),
             AnswerEnd::Failed { code, text } => {
                 let (code, text) = (*code, text.clone());
-                let first = matches!(work.kind, WorkKind::Begin { .. });
-                if first && code.promises_not_run() && work.tries < TRY_LIMIT {
+                let first = matches!(request.kind, RequestKind::Begin { .. });
+                if first && code.promises_not_run() && request.tries < MAX_TRIES {
                     self.reopen_transaction(id, link);
-                    self.not_run(id, code);
+                    self.request_declined(id, code);
                 } else if in_transaction {
                     self.fail_transaction(id, code, &text);
                 } else if code.promises_not_run() {
-                    self.not_run(id, code);
-                } else if work.access == StatementAccess::Read && work.tries < TRY_LIMIT - 1 {
-                    let database = work.database.clone();
-                    if let Some(work) = self.works.get_mut(&id) {
-                        work.avoided.extend(database);
+                    self.request_declined(id, code);
+                } else if request.access == StatementAccess::Read && request.tries < MAX_TRIES - 1 {
+                    let database = request.database.clone();
+                    if let Some(request) = self.requests.get_mut(&id) {
+                        request.excluded.extend(database);
                     }
-                    self.retry_work(id, None, code, code);
+                    self.retry_request(id, None, code, code);
                 } else {
                     self.refuse(id, code, &text);
                 }
@@ -190,9 +195,9 @@
 
     /// Takes back a transaction of which no statement has run.
     pub(crate) fn reopen_transaction(&mut self, id: WorkId, link: LinkId) {
-        let Some(work) = self.works.get(&id) else { return };
-        let WorkKind::Begin { begin, read_only } = work.kind.clone() else { return };
-        let (session_id, begun, route) = (work.session, work.begun, work.route.clone());
+        let Some(request) = self.requests.get(&id) else { return };
+        let RequestKind::Begin { begin, read_only } = request.kind.clone() else { return };
+        let (session_id, begun, route) = (request.session, request.begun, request.route.clone());
         if let Some(session) = self.sessions.get_mut(&session_id) {
             session.transaction = Transaction::Pending { begin, read_only, begun, route };
         }
@@ -201,17 +206,17 @@
 
     pub(crate) fn statement_succeeded(&mut self, id: WorkId, answer: BackendAnswer) {
         let now = self.now;
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let (cluster, database) = (work.route.cluster.clone(), work.database.clone());
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let (cluster, database) = (request.route.cluster.clone(), request.database.clone());
         let Some(database) = database else { return };
-        let sent = work.sent.unwrap_or(now);
-        let wrote = match (&work.kind, self.sessions.get_mut(&work.session)) {
-            (WorkKind::Write, _) => true,
-            (WorkKind::Begin { .. } | WorkKind::Continue, Some(session)) => {
+        let sent = request.sent.unwrap_or(now);
+        let wrote = match (&request.kind, self.sessions.get_mut(&request.session)) {
+            (RequestKind::Write, _) => true,
+            (RequestKind::Begin { .. } | RequestKind::Continue, Some(session)) => {
                 match &mut session.transaction {
                     Transaction::Open(open) => {
-                        open.wrote |= work.access == StatementAccess::Write;
-                        work.is_commit() && open.wrote
+                        open.wrote |= request.access == StatementAccess::Write;
+                        request.is_commit() && open.wrote
                     }
                     _ => false,
                 }
@@ -223,9 +228,9 @@
                 state.commit_overdue = None;
             }
             if let (Some(session), Some(point)) =
-                (self.sessions.get_mut(&work.session), answer.point)
+                (self.sessions.get_mut(&request.session), answer.point)
             {
-                let floor = session.floors.entry(cluster.clone()).or_default();
+                let floor = session.commit_positions.entry(cluster.clone()).or_default();
                 *floor = point.max(*floor);
             }
             if self.table.clusters.get(&cluster).is_some_and(|limits| limits.sync_replicas > 0)
@@ -241,28 +246,28 @@
     pub(crate) fn deliver(&mut self, id: WorkId, answer: BackendAnswer) {
         let AnswerEnd::Done(signature) = answer.end else { return };
         let reply = ClientReply::Done { rows: answer.rows, signature: Some(signature) };
-        let commit = self.works.get(&id).is_some_and(Work::is_commit);
+        let commit = self.requests.get(&id).is_some_and(ActiveRequest::is_commit);
         let point = answer.point;
-        self.finish_work(id, reply, "served", commit, point);
+        self.finish_request(id, reply, "served", commit, point);
     }
 
     /// Answers a request that failed or is given up, outside an open transaction.
     pub(crate) fn refuse(&mut self, id: WorkId, code: ErrorCode, text: &str) {
         let reply = ClientReply::Failed { code, text: text.to_string() };
-        if let Some(work) = self.works.get(&id)
-            && matches!(work.kind, WorkKind::Begin { .. } | WorkKind::Continue)
-            && let Some(session) = self.sessions.get_mut(&work.session)
+        if let Some(request) = self.requests.get(&id)
+            && matches!(request.kind, RequestKind::Begin { .. } | RequestKind::Continue)
+            && let Some(session) = self.sessions.get_mut(&request.session)
             && !matches!(session.transaction, Transaction::None)
         {
             session.transaction = Transaction::Failed;
         }
-        self.finish_work(id, reply, code.name(), false, None);
+        self.finish_request(id, reply, code.name(), false, None);
     }
 
     /// Answers a statement whose transaction cannot go on. What is open is rolled back.
     pub(crate) fn fail_transaction(&mut self, id: WorkId, code: ErrorCode, text: &str) {
-        let Some(work) = self.works.get(&id) else { return };
-        let (session_id, commit) = (work.session, work.is_commit());
+        let Some(request) = self.requests.get(&id) else { return };
+        let (session_id, commit) = (request.session, request.is_commit());
         if let Some(session) = self.sessions.get_mut(&session_id) {
             let state = if commit { Transaction::None } else { Transaction::Failed };
             let transaction = std::mem::replace(&mut session.transaction, state);
@@ -271,10 +276,10 @@
             }
         }
         let reply = ClientReply::Failed { code, text: text.to_string() };
-        self.finish_work(id, reply, code.name(), false, None);
+        self.finish_request(id, reply, code.name(), false, None);
     }
 
-    pub(crate) fn finish_work(
+    pub(crate) fn finish_request(
         &mut self,
         id: WorkId,
         reply: ClientReply,
@@ -283,11 +288,11 @@
         point: Option<LogPoint>,
     ) {
         self.release_slot(id);
-        let Some(work) = self.works.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else { return };
         let now = self.now;
-        let took = now.saturating_sub(work.arrived);
-        if let Some(session) = self.sessions.get_mut(&work.session) {
-            session.work = None;
+        let took = now.saturating_sub(request.arrived);
+        if let Some(session) = self.sessions.get_mut(&request.session) {
+            session.active_request = None;
             if committed {
                 session.transaction = Transaction::None;
             } else if let Transaction::Open(open) = &mut session.transaction {
@@ -299,29 +304,29 @@
             ClientReply::Failed { .. } => "requests_failed",
         });
         self.out.push(GateAction::Observe { histogram: "request_time", micros: took.0 });
-        let proof = self.clusters.get(&work.route.cluster).map(|state| &state.proof);
+        let proof = self.clusters.get(&request.route.cluster).map(|state| &state.proof);
         let proof_age = proof
             .and_then(|proof| proof.confirmed_at())
             .map_or(u64::MAX, |at| now.saturating_sub(at).as_millis());
         self.log(
             "request",
             fields![
-                "request" => &work.request.id,
-                "session" => work.session.0,
-                "route" => &work.route.name,
-                "database" => work.database.clone().unwrap_or_default().to_string(),
-                "after" => work.after.map_or_else(String::new, |point| point.to_string()),
+                "request" => &request.client_request.id,
+                "session" => request.session.0,
+                "route" => &request.route.name,
+                "database" => request.database.clone().unwrap_or_default().to_string(),
+                "after" => request.after.map_or_else(String::new, |point| point.to_string()),
                 "version" => self.table.version,
                 "term" => proof.map_or(0, |proof| proof.term().0),
                 "proof_age_ms" => proof_age,
-                "tries" => u64::from(work.tries),
+                "tries" => u64::from(request.tries),
                 "took_ms" => took.as_millis(),
                 "outcome" => outcome
             ],
         );
-        self.reply(work.session, reply, point);
-        if let Some(name) = work.database {
-            self.pump(&name);
+        self.reply(request.session, reply, point);
+        if let Some(name) = request.database {
+            self.dispatch_queued(&name);
         }
     }
 
@@ -337,80 +342,83 @@
     /// Routes the requests that wait at a database again, to others.
     pub(crate) fn move_queued(&mut self, name: &Name) {
         let queued: Vec<WorkId> = self
-            .works
+            .requests
             .iter()
-            .filter(|(_, work)| {
-                work.stage == WorkStage::Queued && work.database.as_ref() == Some(name)
+            .filter(|(_, request)| {
+                request.stage == RequestStage::Queued && request.database.as_ref() == Some(name)
             })
             .map(|(id, _)| *id)
             .collect();
         for id in queued {
-            if let Some(work) = self.works.get_mut(&id) {
-                work.avoided.push(name.clone());
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.excluded.push(name.clone());
             }
             self.release_slot(id);
-            self.route_work(id);
+            self.route_request(id);
         }
     }
 
     /// Forgets a request whose client is gone.
-    pub(crate) fn abandon_work(&mut self, id: WorkId) {
+    pub(crate) fn abandon_request(&mut self, id: WorkId) {
         self.abandon_slot(id);
         self.release_slot(id);
-        self.works.remove(&id);
+        self.requests.remove(&id);
     }
 
     /// A connection was lost while the request was on it.
-    pub(crate) fn work_lost(&mut self, id: WorkId, begun: bool) {
+    pub(crate) fn request_connection_lost(&mut self, id: WorkId, begun: bool) {
         self.abandon_slot(id);
-        let Some(work) = self.works.get_mut(&id) else { return };
-        if begun && work.may_take_effect() {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if begun && request.may_take_effect() {
             let code = ErrorCode::Unknown;
             let text = "the connection was lost, the outcome is not known";
-            if matches!(work.kind, WorkKind::Write) {
+            if matches!(request.kind, RequestKind::Write) {
                 return self.refuse(id, code, text);
             }
             return self.fail_transaction(id, code, text);
         }
-        if matches!(work.kind, WorkKind::Continue)
-            || (begun && matches!(work.kind, WorkKind::Begin { .. }))
+        if matches!(request.kind, RequestKind::Continue)
+            || (begun && matches!(request.kind, RequestKind::Begin { .. }))
         {
             return self.fail_transaction(id, ErrorCode::Aborted, "the connection was lost");
         }
-        work.avoided.extend(work.database.clone());
-        self.retry_work(id, None, ErrorCode::Unknown, ErrorCode::Busy);
+        request.excluded.extend(request.database.clone());
+        self.retry_request(id, None, ErrorCode::Unknown, ErrorCode::Busy);
     }
 
     /// Acts on requests whose time is up.
-    pub(crate) fn check_works(&mut self) {
+    pub(crate) fn resume_and_expire_requests(&mut self) {
         let now = self.now;
         let due: Vec<WorkId> = self
-            .paused
+            .backing_off
             .iter()
             .copied()
-            .filter(|id| match self.works.get(id).map(|work| work.stage) {
-                Some(WorkStage::Paused(until)) => now >= until,
+            .filter(|id| match self.requests.get(id).map(|request| request.stage) {
+                Some(RequestStage::BackingOff(until)) => now >= until,
                 _ => true,
             })
             .collect();
-        self.paused.retain(|id| !due.contains(id));
+        self.backing_off.retain(|id| !due.contains(id));
         for id in due {
-            if matches!(self.works.get(&id).map(|work| work.stage), Some(WorkStage::Paused(_))) {
-                self.route_work(id);
+            if matches!(
+                self.requests.get(&id).map(|request| request.stage),
+                Some(RequestStage::BackingOff(_))
+            ) {
+                self.route_request(id);
             }
         }
         let late: Vec<WorkId> = self
-            .works
+            .requests
             .iter()
-            .filter(|(_, work)| {
-                now >= work.deadline
-                    || work.is_held_long(now)
-                    || work.is_impatient(now, self.patience(work))
+            .filter(|(_, request)| {
+                now >= request.deadline
+                    || request.is_hold_expired(now)
+                    || request.should_give_up(now, self.answer_timeout(request))
             })
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.work_late(id);
+            self.request_timed_out(id);
         }
     }
 
@@ -418,51 +426,51 @@
     ///
     /// Another node sends a request again itself and knows its queue, so a second one elsewhere would only
     /// add to the load. Only its silence counts.
-    pub(crate) fn patience(&self, work: &Work) -> Micros {
-        let database = work.database.as_ref().and_then(|name| self.databases.get(name));
+    pub(crate) fn answer_timeout(&self, request: &ActiveRequest) -> Micros {
+        let database = request.database.as_ref().and_then(|name| self.databases.get(name));
         if let Some(peer) = database.filter(|database| database.peer.is_some()) {
-            return if peer.is_responsive(self.now) { Micros::MAX } else { READ_PATIENCE_MOST };
+            return if peer.is_responsive(self.now) { Micros::MAX } else { READ_TIMEOUT_MAX };
         }
         let usual = database.map_or(Micros::ZERO, |database| database.latency.value(self.now));
-        Micros(usual.0 * READ_PATIENCE_FACTOR).clamp(READ_PATIENCE_LEAST, READ_PATIENCE_MOST)
+        Micros(usual.0 * READ_TIMEOUT_FACTOR).clamp(READ_TIMEOUT_MIN, READ_TIMEOUT_MAX)
     }
 
-    pub(crate) fn work_late(&mut self, id: WorkId) {
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let late = self.now >= work.deadline;
-        if work.stage == WorkStage::Sent {
-            let link = work.link;
+    pub(crate) fn request_timed_out(&mut self, id: WorkId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let late = self.now >= request.deadline;
+        if request.stage == RequestStage::Sent {
+            let link = request.link;
             self.note_overdue(id);
             self.abandon_slot(id);
-            self.sent_work_late(id, late);
+            self.sent_request_timed_out(id, late);
             // The answer may still come, or never; the next request must not wait for it.
             if let Some(link) = link {
                 self.drop_link(link, "answer overdue");
             }
             return;
         }
-        match work.stage {
-            WorkStage::Parked | WorkStage::Paused(_) | WorkStage::Queued => {
+        match request.stage {
+            RequestStage::WaitingForLeader | RequestStage::BackingOff(_) | RequestStage::Queued => {
                 self.refuse(
                     id,
                     ErrorCode::Busy,
                     "not run, no primary within the time, retry at once",
                 );
             }
-            WorkStage::Proving => {
+            RequestStage::WaitingForProof => {
                 let text = "not run, the primary could not be proved to lead, retry after 500 ms";
-                self.refuse(id, self.unable_code(id), text);
+                self.refuse(id, self.refusal_code(id), text);
             }
-            WorkStage::Sent => {}
+            RequestStage::Sent => {}
         }
     }
 
     /// Notes that a database owes an answer.
     pub(crate) fn note_overdue(&mut self, id: WorkId) {
-        let Some(work) = self.works.get(&id) else { return };
-        let (Some(sent), Some(name)) = (work.sent, work.database.clone()) else { return };
-        if work.may_take_effect()
-            && let Some(state) = self.clusters.get_mut(&work.route.cluster)
+        let Some(request) = self.requests.get(&id) else { return };
+        let (Some(sent), Some(name)) = (request.sent, request.database.clone()) else { return };
+        if request.may_take_effect()
+            && let Some(state) = self.clusters.get_mut(&request.route.cluster)
         {
             state.commit_overdue.get_or_insert(sent);
         }
@@ -479,20 +487,20 @@
     }
 
     /// Acts on a request whose answer is overdue.
-    pub(crate) fn sent_work_late(&mut self, id: WorkId, late: bool) {
-        let Some(work) = self.works.get_mut(&id) else { return };
+    pub(crate) fn sent_request_timed_out(&mut self, id: WorkId, late: bool) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
         let unknown = "the time limit passed, the outcome is not known";
-        match work.kind {
-            WorkKind::Read if !late => {
-                work.avoided.extend(work.database.clone());
-                self.retry_work(id, None, ErrorCode::Timeout, ErrorCode::Timeout);
+        match request.kind {
+            RequestKind::Read if !late => {
+                request.excluded.extend(request.database.clone());
+                self.retry_request(id, None, ErrorCode::Timeout, ErrorCode::Timeout);
             }
-            WorkKind::Read => self.refuse(id, ErrorCode::Timeout, "the time limit passed"),
-            WorkKind::Write => self.refuse(id, ErrorCode::Unknown, unknown),
-            WorkKind::Begin { .. } | WorkKind::Continue if work.is_commit() => {
+            RequestKind::Read => self.refuse(id, ErrorCode::Timeout, "the time limit passed"),
+            RequestKind::Write => self.refuse(id, ErrorCode::Unknown, unknown),
+            RequestKind::Begin { .. } | RequestKind::Continue if request.is_commit() => {
                 self.fail_transaction(id, ErrorCode::Unknown, unknown);
             }
-            WorkKind::Begin { .. } | WorkKind::Continue => {
+            RequestKind::Begin { .. } | RequestKind::Continue => {
                 let text = "rolled back, the database did not answer in time, retry at once";
                 self.fail_transaction(id, ErrorCode::Aborted, text);
             }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -10,7 +10,7 @@
 use crate::Gate;
 use crate::database::{Database, UNRESPONSIVE};
 use crate::event::{ListedDatabase, NodeRole, SessionOrigin};
-use crate::work::{OWNER_PAUSE, WorkId};
+use crate::request::{OWNER_RETRY_INTERVAL, WorkId};
 
 /// Time for which a node that could not serve requests of a cluster is not asked again, where every node is an
 /// owner.
@@ -89,15 +89,15 @@
     }
 
     pub(crate) fn is_forwarded(&self, id: WorkId) -> bool {
-        self.works
+        self.requests
             .get(&id)
-            .and_then(|work| self.sessions.get(&work.session))
+            .and_then(|request| self.sessions.get(&request.session))
             .is_some_and(|session| session.origin == SessionOrigin::Peer)
     }
 
     /// Chooses a node that comes before this one among the owners of the request's cluster.
     pub(crate) fn choose_owner(&mut self, id: WorkId) -> Option<Name> {
-        let cluster = &self.works.get(&id)?.route.cluster;
+        let cluster = &self.requests.get(&id)?.route.cluster;
         let owners = self.owners.of(cluster)?;
         let own = owners.iter().position(|node| *node == self.settings.node);
         let warm = self.registration.role == NodeRole::Owner;
@@ -113,10 +113,10 @@
         if self.is_forwarded(id) {
             return None;
         }
-        let work = self.works.get(&id)?;
-        let (cluster, client_database) = (&work.route.cluster, &work.route.database);
+        let request = self.requests.get(&id)?;
+        let (cluster, client_database) = (&request.route.cluster, &request.route.database);
         let owners = self.owners.of(cluster);
-        let refused_time = if owners.is_some() { OWNER_PAUSE } else { REFUSED_TIME };
+        let refused_time = if owners.is_some() { OWNER_RETRY_INTERVAL } else { REFUSED_TIME };
         let candidates: Vec<&Name> = match owners {
             Some(owners) => owners.iter().take(end).collect(),
             None => self.registry.others().map(|(node, _)| node).collect(),
@@ -131,7 +131,7 @@
             if *node == self.settings.node
                 || record.suspected_clusters.contains(cluster.as_str())
                 || refused.is_some_and(|at| self.now < *at + refused_time)
-                || work.avoided.contains(&name)
+                || request.excluded.contains(&name)
                 || entry.is_some_and(|entry| !entry.is_responsive(self.now))
             {
                 continue;
--- a/crates/gate/src/ready.rs
+++ b/crates/gate/src/ready.rs
@@ -49,8 +49,8 @@
         let cut_off = self.ready.cut_off;
         let was_ready = self.ready.ready;
         let isolated = contacts.is_isolated() || !self.has_store_contact();
-        let patience = if isolated { ISOLATED_TIME } else { CUT_OFF_TIME };
-        let kept = was_ready && cut_off.is_some_and(|since| now < since + patience);
+        let limit = if isolated { ISOLATED_TIME } else { CUT_OFF_TIME };
+        let kept = was_ready && cut_off.is_some_and(|since| now < since + limit);
         let ready = clusters > 0 && self.drain.since.is_none() && (cut_off.is_none() || kept);
         if ready != was_ready || !self.ready.announced {
             self.ready.ready = ready;
--- a/crates/gate/src/work.rs
+++ b/crates/gate/src/request.rs
@@ -18,18 +18,18 @@
 pub(crate) use admit::WorkId;
 
 /// Times that one request is sent at most.
-pub(crate) const TRY_LIMIT: u32 = 4;
+pub(crate) const MAX_TRIES: u32 = 4;
 
 /// Time kept back from a request's limit for the way to the client.
 const REPLY_MARGIN: Micros = Micros::from_millis(20);
 
 /// Time that a request waits for a leader or for proof of one. Another node may be able to serve it, and the
 /// client's tries have to fit into its time.
-const HOLD_TIME: Micros = Micros::from_millis(300);
+const HOLD_TIMEOUT: Micros = Micros::from_millis(300);
 
 /// Pause before the owners of a cluster are asked again after none could serve a request: a third of the time
 /// that it is held.
-pub(crate) const OWNER_PAUSE: Micros = Micros::from_millis(100);
+pub(crate) const OWNER_RETRY_INTERVAL: Micros = Micros::from_millis(100);
 
 /// What the client of a request is told that would wait too long.
 pub(crate) const OVERLOADED_TEXT: &str = "not run, the database is overloaded, retry after 200 ms";
@@ -41,7 +41,7 @@
 
 /// What a request is within its session.
 #[derive(Clone, Debug)]
-pub(crate) enum WorkKind {
+pub(crate) enum RequestKind {
     Read,
     Write,
     /// The first statement of a transaction, which has to be opened first.
@@ -55,13 +55,13 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WorkStage {
+pub(crate) enum RequestStage {
     /// Waits for a leader.
-    Parked,
+    WaitingForLeader,
     /// Waits for proof that the leader still leads.
-    Proving,
+    WaitingForProof,
     /// Waits until it may be tried again.
-    Paused(Micros),
+    BackingOff(Micros),
     /// Waits for a connection.
     Queued,
     /// Sent; not answered yet.
@@ -70,17 +70,17 @@
 
 /// One request.
 #[derive(Debug)]
-pub(crate) struct Work {
+pub(crate) struct ActiveRequest {
     pub(crate) session: SessionId,
-    pub(crate) request: ClientRequest,
+    pub(crate) client_request: ClientRequest,
     pub(crate) access: StatementAccess,
-    pub(crate) kind: WorkKind,
+    pub(crate) kind: RequestKind,
     pub(crate) route: Arc<RouteConfig>,
     pub(crate) arrived: Micros,
     /// When the statement, or its transaction, began.
     pub(crate) begun: Micros,
     pub(crate) deadline: Micros,
-    pub(crate) stage: WorkStage,
+    pub(crate) stage: RequestStage,
     pub(crate) database: Option<Name>,
     pub(crate) link: Option<LinkId>,
     pub(crate) after: Option<LogPoint>,
@@ -88,24 +88,24 @@
     pub(crate) need: Option<Micros>,
     pub(crate) sent: Option<Micros>,
     pub(crate) tries: u32,
-    pub(crate) avoided: Vec<Name>,
+    pub(crate) excluded: Vec<Name>,
 }
 
-impl Work {
+impl ActiveRequest {
     pub(crate) fn is_commit(&self) -> bool {
-        matches!(self.request.statement, Statement::Commit)
+        matches!(self.client_request.statement, Statement::Commit)
     }
 
     /// Tells whether the request may have an effect once it was sent.
     pub(crate) fn may_take_effect(&self) -> bool {
-        matches!(self.kind, WorkKind::Write) || self.is_commit()
+        matches!(self.kind, RequestKind::Write) || self.is_commit()
     }
 
     pub(crate) fn needs_leader(&self) -> bool {
         match &self.kind {
-            WorkKind::Write | WorkKind::Continue => true,
-            WorkKind::Begin { read_only: false, .. } => true,
-            WorkKind::Read | WorkKind::Begin { read_only: true, .. } => {
+            RequestKind::Write | RequestKind::Continue => true,
+            RequestKind::Begin { read_only: false, .. } => true,
+            RequestKind::Read | RequestKind::Begin { read_only: true, .. } => {
                 self.route.freshness == Freshness::Latest
             }
         }
@@ -113,61 +113,62 @@
 }
 
 impl Gate {
-    pub(crate) fn new_work(
+    pub(crate) fn create_request(
         &mut self,
         session: SessionId,
-        request: ClientRequest,
+        client_request: ClientRequest,
         access: StatementAccess,
-        kind: WorkKind,
+        kind: RequestKind,
         route: Arc<RouteConfig>,
         begun: Micros,
     ) -> WorkId {
         let id = WorkId(self.next_id());
-        let work = Work {
+        let request = ActiveRequest {
             session,
-            request,
+            client_request,
             access,
             kind,
             arrived: self.now,
             begun,
             deadline: self.now + route.timeout.saturating_sub(REPLY_MARGIN),
             route,
-            stage: WorkStage::Queued,
+            stage: RequestStage::Queued,
             database: None,
             link: None,
             after: None,
             need: None,
             sent: None,
             tries: 0,
-            avoided: Vec::new(),
+            excluded: Vec::new(),
         };
-        self.works.insert(id, work);
+        self.requests.insert(id, request);
         id
     }
 
     /// Chooses a database for a request and queues it there.
-    pub(crate) fn route_work(&mut self, id: WorkId) {
-        let Some(work) = self.works.get(&id) else { return };
-        if matches!(work.kind, WorkKind::Continue) {
+    pub(crate) fn route_request(&mut self, id: WorkId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if matches!(request.kind, RequestKind::Continue) {
             return self.continue_transaction(id);
         }
-        let (route, begun, for_leader) = (work.route.clone(), work.begun, work.needs_leader());
-        let writes = matches!(work.kind, WorkKind::Write);
+        let (route, begun, for_leader) =
+            (request.route.clone(), request.begun, request.needs_leader());
+        let writes = matches!(request.kind, RequestKind::Write);
         if let Some(peer) = self.choose_owner(id) {
-            return self.queue_at(id, peer, self.session_floor(id), None);
+            return self.queue_at(id, peer, self.required_position(id), None);
         }
         if !self.owns_links(&route.cluster) {
-            return self.await_owner(id);
+            return self.wait_for_owner(id);
         }
         let Some(cluster) = self.clusters.get(&route.cluster) else {
-            return self.refuse(id, self.unable_code(id), "no database is known for the route");
+            return self.refuse(id, self.refusal_code(id), "no database is known for the route");
         };
         let since = covered_since(route.freshness, begun);
         if !for_leader
             && let Some(since) = since
             && let Some(point) = cluster.proof.proved_position(since)
         {
-            let after = Some(point).max(self.session_floor(id));
+            let after = Some(point).max(self.required_position(id));
             if let Some(replica) = self.choose_replica(id, &route.cluster, after) {
                 return self.queue_at(id, replica, after, None);
             }
@@ -177,16 +178,16 @@
             if !self.is_announced(&route.cluster)
                 && let Some(peer) = self.choose_peer(id)
             {
-                return self.queue_at(id, peer, self.session_floor(id), None);
+                return self.queue_at(id, peer, self.required_position(id), None);
             }
-            return self.park(id);
+            return self.wait_for_leader(id);
         };
         if self.databases.get(&leader).is_some_and(|database| database.is_closed(self.now)) {
             if let Some(peer) = self.choose_peer(id) {
-                return self.queue_at(id, peer, self.session_floor(id), None);
+                return self.queue_at(id, peer, self.required_position(id), None);
             }
             let text = "not run, no connection to the primary is free, retry after 150 ms";
-            return self.refuse(id, self.unable_code(id), text);
+            return self.refuse(id, self.refusal_code(id), text);
         }
         self.apply_read_lease(&route.cluster);
         if need.is_none_or(|need| self.is_proved(&route.cluster, &leader, need)) {
@@ -196,53 +197,53 @@
             && !self.can_request_proof(&route.cluster)
             && let Some(peer) = self.choose_peer(id)
         {
-            return self.queue_at(id, peer, self.session_floor(id), None);
+            return self.queue_at(id, peer, self.required_position(id), None);
         }
-        if let Some(work) = self.works.get_mut(&id) {
-            work.stage = WorkStage::Proving;
-            work.need = need;
-            work.database = None;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.stage = RequestStage::WaitingForProof;
+            request.need = need;
+            request.database = None;
         }
         if let Some(state) = self.clusters.get_mut(&route.cluster) {
-            state.proving.push(id);
+            state.waiting_for_proof.push(id);
         }
         self.request_proof(&route.cluster, need.unwrap_or(begun));
     }
 
     /// Keeps a request at a node that only forwards until an owner may be able to serve it.
-    fn await_owner(&mut self, id: WorkId) {
+    fn wait_for_owner(&mut self, id: WorkId) {
         let now = self.now;
-        let Some(work) = self.works.get_mut(&id) else { return };
-        if now >= work.arrived + HOLD_TIME {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if now >= request.arrived + HOLD_TIMEOUT {
             let text = "not run, no other node reaches a primary, retry after 200 ms";
             return self.refuse(id, ErrorCode::Busy, text);
         }
-        work.avoided.clear();
-        work.tries = 0;
-        work.database = None;
-        work.stage = WorkStage::Paused(now + OWNER_PAUSE);
-        self.paused.push(id);
+        request.excluded.clear();
+        request.tries = 0;
+        request.database = None;
+        request.stage = RequestStage::BackingOff(now + OWNER_RETRY_INTERVAL);
+        self.backing_off.push(id);
     }
 
     /// Returns the code for a request that this node cannot serve: another node is told to go elsewhere.
-    pub(crate) fn unable_code(&self, id: WorkId) -> ErrorCode {
+    pub(crate) fn refusal_code(&self, id: WorkId) -> ErrorCode {
         if self.is_forwarded(id) { ErrorCode::Misrouted } else { ErrorCode::Busy }
     }
 
     /// Returns the position that a read needs for what its session has written, or another node asks for.
-    pub(crate) fn session_floor(&self, id: WorkId) -> Option<LogPoint> {
-        let work = self.works.get(&id)?;
-        let own = match work.route.freshness {
+    pub(crate) fn required_position(&self, id: WorkId) -> Option<LogPoint> {
+        let request = self.requests.get(&id)?;
+        let own = match request.route.freshness {
             Freshness::Session(_) => {
-                self.sessions.get(&work.session)?.floors.get(&work.route.cluster)
+                self.sessions.get(&request.session)?.commit_positions.get(&request.route.cluster)
             }
             Freshness::Latest | Freshness::Bounded(_) => None,
         };
-        let begun = match &work.kind {
-            WorkKind::Begin { begin, .. } => begin.after,
-            WorkKind::Read | WorkKind::Write | WorkKind::Continue => None,
+        let begun = match &request.kind {
+            RequestKind::Begin { begin, .. } => begin.after,
+            RequestKind::Read | RequestKind::Write | RequestKind::Continue => None,
         };
-        own.copied().max(work.request.after).max(begun)
+        own.copied().max(request.client_request.after).max(begun)
     }
 
     /// Tells whether a replica could prove that the leader leads.
@@ -275,7 +276,7 @@
 
     /// Chooses the least loaded replica that is known or likely to hold the position.
     fn choose_replica(&self, id: WorkId, cluster: &Name, after: Option<LogPoint>) -> Option<Name> {
-        let work = self.works.get(&id)?;
+        let request = self.requests.get(&id)?;
         let state = self.clusters.get(cluster)?;
         let leader = state.proof.leader();
         let preferred = self.preferred_replica(state);
@@ -285,7 +286,7 @@
             if Some(name) == leader
                 || !database.is_usable(self.now)
                 || database.listed.leaving
-                || work.avoided.contains(name)
+                || request.excluded.contains(name)
                 || database.lacks(self.now, after)
                 || database.is_closed(self.now)
             {
@@ -315,28 +316,28 @@
         need: Option<Micros>,
     ) {
         let now = self.now;
-        let Some(work) = self.works.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(database) = self.databases.get_mut(&name) else { return };
-        work.database = Some(name.clone());
-        work.after = after;
-        work.need = need;
-        work.stage = WorkStage::Queued;
+        request.database = Some(name.clone());
+        request.after = after;
+        request.need = need;
+        request.stage = RequestStage::Queued;
         let ticket = WorkTicket {
             work: id,
-            rank: work.route.rank,
-            caller: Name::from(format!("s{}", work.session.0)),
-            deadline: work.deadline,
-            selector: work.route.name.clone(),
+            rank: request.route.rank,
+            caller: Name::from(format!("s{}", request.session.0)),
+            deadline: request.deadline,
+            selector: request.route.name.clone(),
             in_transaction: false,
         };
-        if database.is_overloaded(now, &work.route) {
+        if database.is_overloaded(now, &request.route) {
             self.count("requests_shed");
             return self.refuse(id, ErrorCode::Busy, OVERLOADED_TEXT);
         }
         if let Err(reason) = database.queue.enqueue(now, ticket) {
             return self.refuse_queued(id, reason);
         }
-        self.pump(&name);
+        self.dispatch_queued(&name);
     }
 
     pub(crate) fn refuse_queued(&mut self, id: WorkId, reason: RefusalReason) {
@@ -351,12 +352,12 @@
     }
 
     /// Keeps a request until a leader is known.
-    pub(crate) fn park(&mut self, id: WorkId) {
+    pub(crate) fn wait_for_leader(&mut self, id: WorkId) {
         let now = self.now;
-        let Some(work) = self.works.get_mut(&id) else { return };
-        let cluster = work.route.cluster.clone();
-        work.stage = WorkStage::Parked;
-        work.database = None;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let cluster = request.route.cluster.clone();
+        request.stage = RequestStage::WaitingForLeader;
+        request.database = None;
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
         state.leader_missed.get_or_insert(now);
         if self.is_forwarded(id) {
@@ -379,27 +380,27 @@
                 "not run, the cluster has no primary, retry after 1 s",
             );
         }
-        state.parked.push(id);
+        state.waiting_for_leader.push(id);
     }
 }
 
-impl Work {
+impl ActiveRequest {
     /// Tells whether the request has waited long enough for a leader or for proof of one.
-    pub(crate) fn is_held_long(&self, now: Micros) -> bool {
-        matches!(self.stage, WorkStage::Parked | WorkStage::Proving)
-            && now >= self.arrived + HOLD_TIME
+    pub(crate) fn is_hold_expired(&self, now: Micros) -> bool {
+        matches!(self.stage, RequestStage::WaitingForLeader | RequestStage::WaitingForProof)
+            && now >= self.arrived + HOLD_TIMEOUT
     }
 
     /// Tells whether a request should be given up here because it can be repeated.
-    pub(crate) fn is_impatient(&self, now: Micros, patience: Micros) -> bool {
+    pub(crate) fn should_give_up(&self, now: Micros, answer_timeout: Micros) -> bool {
         let repeatable = match self.kind {
-            WorkKind::Read => self.tries < TRY_LIMIT - 1,
-            WorkKind::Write => false,
+            RequestKind::Read => self.tries < MAX_TRIES - 1,
+            RequestKind::Write => false,
             // Nothing of a transaction is kept before its commit was sent.
-            WorkKind::Begin { .. } | WorkKind::Continue => !self.is_commit(),
+            RequestKind::Begin { .. } | RequestKind::Continue => !self.is_commit(),
         };
-        self.stage == WorkStage::Sent
+        self.stage == RequestStage::Sent
             && repeatable
-            && self.sent.is_some_and(|sent| now >= sent + patience)
+            && self.sent.is_some_and(|sent| now >= sent + answer_timeout)
     }
 }
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -12,9 +12,9 @@
 use crate::backend::{BackendCommand, LogPoint};
 use crate::database::CommandPurpose;
 use crate::event::{LinkId, SessionId, SessionOrigin};
+use crate::request::{RequestKind, WorkId};
 use crate::route::{Freshness, RouteConfig};
 use crate::statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
-use crate::work::{WorkId, WorkKind};
 use crate::{Gate, fields};
 
 /// Prepared statements and values that one session may hold; more are refused.
@@ -52,9 +52,9 @@
     pub(crate) values: BTreeMap<Name, Name>,
     pub(crate) prepared: FastMap<Name, (StatementAccess, Name)>,
     /// Position of the session's last commit, by cluster.
-    pub(crate) floors: FastMap<Name, LogPoint>,
+    pub(crate) commit_positions: FastMap<Name, LogPoint>,
     pub(crate) transaction: Transaction,
-    pub(crate) work: Option<WorkId>,
+    pub(crate) active_request: Option<WorkId>,
     pub(crate) origin: SessionOrigin,
 }
 
@@ -68,7 +68,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.work.is_none() && matches!(self.transaction, Transaction::None)
+        self.active_request.is_none() && matches!(self.transaction, Transaction::None)
     }
 }
 
@@ -104,9 +104,9 @@
             database,
             values: BTreeMap::new(),
             prepared: FastMap::default(),
-            floors: FastMap::default(),
+            commit_positions: FastMap::default(),
             transaction: Transaction::None,
-            work: None,
+            active_request: None,
             origin,
         };
         self.sessions.insert(session, state);
@@ -115,8 +115,8 @@
 
     pub(crate) fn close_session(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
-        if let Some(work) = session.work {
-            self.abandon_work(work);
+        if let Some(request) = session.active_request {
+            self.abandon_request(request);
         }
         if let Transaction::Open(open) = session.transaction {
             self.release_pin(open.link, id);
@@ -140,7 +140,7 @@
 
     pub(crate) fn request_arrived(&mut self, id: SessionId, request: ClientRequest) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        if session.work.is_some() {
+        if session.active_request.is_some() {
             return;
         }
         let state = session.state();
@@ -174,12 +174,12 @@
             }
             Statement::Rollback => self.roll_back(id),
             Statement::Commit => self.commit(id, request),
-            Statement::Read => self.start_work(id, request, StatementAccess::Read),
-            Statement::Write => self.start_work(id, request, StatementAccess::Write),
+            Statement::Read => self.start_request(id, request, StatementAccess::Read),
+            Statement::Write => self.start_request(id, request, StatementAccess::Write),
             Statement::Execute { name, .. } => match session.prepared.get(name) {
                 Some((access, _)) => {
                     let access = *access;
-                    self.start_work(id, request, access);
+                    self.start_request(id, request, access);
                 }
                 None => self.reply_error(id, ErrorCode::NoStatement, "no such prepared statement"),
             },
@@ -232,33 +232,33 @@
                 self.reply_error(id, ErrorCode::Aborted, "the transaction was rolled back");
             }
             Transaction::Pending { .. } | Transaction::Open(_) => {
-                self.start_work(id, request, StatementAccess::Read);
+                self.start_request(id, request, StatementAccess::Read);
             }
         }
     }
 
-    fn start_work(&mut self, id: SessionId, request: ClientRequest, access: StatementAccess) {
+    fn start_request(&mut self, id: SessionId, request: ClientRequest, access: StatementAccess) {
         let Some(session) = self.sessions.get(&id) else { return };
         let now = self.now;
         let (kind, route, begun) = match session.transaction.clone() {
-            Transaction::Open(open) => (WorkKind::Continue, open.route, now),
+            Transaction::Open(open) => (RequestKind::Continue, open.route, now),
             Transaction::Pending { begin, read_only, begun, route } => {
-                (WorkKind::Begin { begin, read_only }, route, begun)
+                (RequestKind::Begin { begin, read_only }, route, begun)
             }
             Transaction::None | Transaction::Failed => {
                 let Some(route) = self.current_route(id) else { return };
                 let kind = match access {
-                    StatementAccess::Read => WorkKind::Read,
-                    StatementAccess::Write => WorkKind::Write,
+                    StatementAccess::Read => RequestKind::Read,
+                    StatementAccess::Write => RequestKind::Write,
                 };
                 (kind, route, now)
             }
         };
-        let work = self.new_work(id, request, access, kind, route, begun);
+        let request_id = self.create_request(id, request, access, kind, route, begun);
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.work = Some(work);
+            session.active_request = Some(request_id);
         }
-        self.route_work(work);
+        self.route_request(request_id);
     }
 
     pub(crate) fn reply_done(&mut self, session: SessionId) {
@@ -284,7 +284,9 @@
             .sessions
             .iter()
             .filter(|(_, session)| match &session.transaction {
-                Transaction::Open(open) => session.work.is_none() && now >= open.idle_since + limit,
+                Transaction::Open(open) => {
+                    session.active_request.is_none() && now >= open.idle_since + limit
+                }
                 _ => false,
             })
             .map(|(id, _)| *id)
