--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -139,11 +139,11 @@
         }
         let claims_primary =
             self.databases[&name].listed.claimed_role == Some(DatabaseRole::Primary);
-        let holds = self.owns_links(&cluster);
+        let holds = self.owns_connections(&cluster);
         if holds && claims_primary && (role_changed || known.is_none()) {
             self.ask_report(&name);
         }
-        self.open_links(&name);
+        self.open_connections(&name);
     }
 
     pub(crate) fn database_unlisted(&mut self, name: &Name) {
@@ -158,16 +158,17 @@
 
     pub(crate) fn remove_database(&mut self, name: &Name) {
         let Some(database) = self.databases.get(name) else { return };
-        let (links, cluster) = (database.links.clone(), database.listed.cluster.clone());
-        for link in links {
-            self.drop_link(link, "database removed");
+        let (connections, cluster) =
+            (database.connections.clone(), database.listed.cluster.clone());
+        for connection in connections {
+            self.close_connection(connection, "database removed");
         }
         self.databases.remove(name);
         if let Some(state) = self.clusters.get_mut(&cluster) {
             state.members.retain(|member| member != name);
             state.proof.forget_leader(name);
         }
-        self.reroute_queued(name);
+        self.reroute_if_unconnected(name);
         self.log("database_removed", fields!["database" => name]);
     }
 
@@ -246,19 +247,24 @@
         if !database.report_wanted || database.report_asked.is_some() {
             return;
         }
-        let Some(link) = database.idle.pop() else {
-            self.open_links(name);
+        let Some(connection) = database.idle.pop() else {
+            self.open_connections(name);
             return;
         };
         database.report_wanted = false;
         database.report_asked = Some(now);
         self.count("reports_asked");
-        self.send(link, vec![BackendCommand::Report], CommandPurpose::Report);
+        self.send(connection, vec![BackendCommand::Report], CommandPurpose::Report);
     }
 
     /// Takes in a database's report of itself.
-    pub(crate) fn report_answered(&mut self, link: LinkId, asked: Micros, answer: &BackendAnswer) {
-        let Some(state) = self.links.get(&link) else { return };
+    pub(crate) fn report_answered(
+        &mut self,
+        connection: LinkId,
+        asked: Micros,
+        answer: &BackendAnswer,
+    ) {
+        let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let Some(database) = self.databases.get_mut(&name) else { return };
         if database.report_asked == Some(asked) {
@@ -354,7 +360,7 @@
 
     fn maintain_cluster(&mut self, cluster: &Name) {
         let now = self.now;
-        let holds = self.owns_links(cluster);
+        let holds = self.owns_connections(cluster);
         if let Some(need) = self.clusters.get(cluster).and_then(|state| state.proof_needed_since) {
             self.request_proof(cluster, need);
         }
--- a/crates/gate/src/link.rs
+++ b/crates/gate/src/connection.rs
@@ -5,58 +5,58 @@
 use crate::action::GateAction;
 use crate::backend::{AnswerEnd, BackendAnswer, BackendCommand, LogPoint};
 use crate::cluster::LEAVING_GRACE;
-use crate::database::{CommandPurpose, Link, PendingCommand, steady_share};
+use crate::database::{BackendConnection, CommandPurpose, PendingCommand, steady_share};
 use crate::event::LinkId;
 use crate::request::WorkId;
 use crate::statement::{ErrorCode, SessionState};
 use crate::{Gate, fields};
 
 /// Time for opening a connection: the handshake behind a full queue.
-const OPEN_TIME: Micros = Micros::from_millis(1_000);
+const OPEN_TIMEOUT: Micros = Micros::from_millis(1_000);
 
 /// Time for the answer to a report. Reports take a slot, behind a queue of 16 statements.
-const REPORT_TIME: Micros = Micros::from_millis(800);
+const REPORT_TIMEOUT: Micros = Micros::from_millis(800);
 
 /// Time that a statement without a waiting request may take before its connection is closed.
-const ORPHAN_TIME: Micros = Micros::from_millis(2_000);
+const ABANDONED_STATEMENT_TIMEOUT: Micros = Micros::from_millis(2_000);
 
 /// Pause after a failed attempt to open a connection; doubles up to the longest pause.
-const OPEN_PAUSE: Micros = Micros::from_millis(60);
-const OPEN_PAUSE_LONGEST: Micros = Micros::from_millis(500);
+const OPEN_BACKOFF_MIN: Micros = Micros::from_millis(60);
+const OPEN_BACKOFF_MAX: Micros = Micros::from_millis(500);
 
 /// Pause after a database refused a connection for its limit.
-const FULL_PAUSE: Micros = Micros::from_millis(150);
+const LIMIT_REFUSAL_BACKOFF: Micros = Micros::from_millis(150);
 
 /// Time after which an unused connection beyond the equal share is closed: long against the pauses within a
 /// burst of requests, and against the 12 ms that a new connection takes.
-const SURPLUS_TIME: Micros = Micros::from_millis(600);
+const SURPLUS_IDLE_TIMEOUT: Micros = Micros::from_millis(600);
 
 /// The same where each node may keep several, so that keeping one more takes little from the others.
-const AMPLE_SURPLUS_TIME: Micros = Micros::from_millis(3_000);
+const LARGE_SHARE_IDLE_TIMEOUT: Micros = Micros::from_millis(3_000);
 
 /// The same for connections to other nodes, which have many: the entry of an unused node is kept as long.
-const PEER_SURPLUS_TIME: Micros = Micros::from_millis(5_000);
+const PEER_IDLE_TIMEOUT: Micros = Micros::from_millis(5_000);
 
 /// Connections to another node for one client database.
-const PEER_LINKS: u32 = 8;
+const PEER_CONNECTIONS: u32 = 8;
 
 /// Time after its start in which a node keeps to its equal share of connections. Databases drop the connections
 /// of VMs that lost power within 3 s.
-const START_TIME: Micros = Micros::from_millis(3_000);
+const STARTUP_GRACE: Micros = Micros::from_millis(3_000);
 
 /// Connections that a database without a known limit gets.
 const DEFAULT_CONNECTIONS: u32 = 8;
 
 impl Gate {
     /// Returns the connections to each of a cluster's databases that this node keeps in a steady state.
-    fn steady_links(&self, cluster: &Name) -> u32 {
+    fn steady_connections(&self, cluster: &Name) -> u32 {
         let limits = self.table.clusters.get(cluster);
         let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.connections);
-        steady_share(connections, self.sharing_nodes(cluster))
+        steady_share(connections, self.sharing_node_count(cluster))
     }
 
     /// Opens connections for waiting requests, and the first one of each database.
-    pub(crate) fn open_links(&mut self, name: &Name) {
+    pub(crate) fn open_connections(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
         let closed = database.unlisted.is_some()
@@ -66,42 +66,48 @@
         }
         let waiting: u32 = database.queue.stats().waiting.0.iter().sum();
         let wanted = waiting + u32::from(database.report_wanted);
-        let links = u32::try_from(database.links.len()).unwrap_or(u32::MAX);
+        let connections = u32::try_from(database.connections.len()).unwrap_or(u32::MAX);
         let limit = match database.peer {
-            Some(_) => PEER_LINKS,
+            Some(_) => PEER_CONNECTIONS,
             None => {
-                let share = self.steady_links(&database.listed.cluster);
-                let starting = now < self.started + START_TIME;
-                if starting { share } else { database.link_limit(now, share) }
+                let share = self.steady_connections(&database.listed.cluster);
+                let starting = now < self.started + STARTUP_GRACE;
+                if starting { share } else { database.connection_limit(now, share) }
             }
         };
-        let first = links == 0 && self.keeps_link(name);
-        if !first && (database.opening >= wanted || links >= limit || database.opening >= 2) {
+        let first = connections == 0 && self.keeps_connection_open(name);
+        if !first && (database.opening >= wanted || connections >= limit || database.opening >= 2) {
             return;
         }
-        self.open_link(name);
+        self.open_connection(name);
     }
 
     /// Opens a connection.
-    pub(crate) fn open_link(&mut self, name: &Name) {
+    pub(crate) fn open_connection(&mut self, name: &Name) {
         let now = self.now;
-        let link = LinkId(self.next_id());
+        let connection = LinkId(self.next_id());
         let Some(database) = self.databases.get_mut(name) else { return };
-        database.links.push(link);
+        database.connections.push(connection);
         database.opening += 1;
         database.attempt(now);
         let (cluster, address) = (database.listed.cluster.clone(), database.listed.address);
-        self.links.insert(link, Link::new(name.clone(), cluster.clone(), now));
-        self.out.push(GateAction::OpenLink { link, cluster, database: name.clone(), address });
+        self.connections
+            .insert(connection, BackendConnection::new(name.clone(), cluster.clone(), now));
+        self.out.push(GateAction::OpenLink {
+            link: connection,
+            cluster,
+            database: name.clone(),
+            address,
+        });
         self.count("links_opened");
     }
 
     /// Tells whether a connection to the database is kept without requests: to the leader, and to the
     /// replica that this node prefers.
-    fn keeps_link(&self, name: &Name) -> bool {
+    fn keeps_connection_open(&self, name: &Name) -> bool {
         let Some(database) = self.databases.get(name) else { return false };
         let Some(state) = self.clusters.get(&database.listed.cluster) else { return false };
-        if !self.owns_links(&database.listed.cluster) {
+        if !self.owns_connections(&database.listed.cluster) {
             return false;
         }
         match state.proof.leader() {
@@ -110,9 +116,9 @@
         }
     }
 
-    pub(crate) fn link_opened(&mut self, link: LinkId, point: Option<LogPoint>) {
+    pub(crate) fn connection_opened(&mut self, connection: LinkId, point: Option<LogPoint>) {
         let now = self.now;
-        let Some(state) = self.links.get_mut(&link) else { return };
+        let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.open {
             return;
         }
@@ -128,7 +134,7 @@
         }
         database.applied = point.max(database.applied);
         database.applied_at = now;
-        database.idle.push(link);
+        database.idle.push(connection);
         if database.report.is_none() && database.listed.claimed_role == Some(DatabaseRole::Primary)
         {
             database.report_wanted = true;
@@ -137,72 +143,75 @@
         self.dispatch_queued(&name);
     }
 
-    pub(crate) fn link_refused(&mut self, link: LinkId, code: ErrorCode) {
+    pub(crate) fn connection_refused(&mut self, connection: LinkId, code: ErrorCode) {
         let now = self.now;
-        let Some(state) = self.links.get(&link) else { return };
+        let Some(state) = self.connections.get(&connection) else { return };
         let name = state.database.clone();
         self.log("link_refused", fields!["database" => &name, "code" => code.name()]);
         if code == ErrorCode::TooManyConnections {
             self.answered(&name);
         }
-        self.remove_link(link);
+        self.remove_connection(connection);
         if let Some(database) = self.databases.get_mut(&name) {
-            database.retry_open = now + FULL_PAUSE;
+            database.retry_open = now + LIMIT_REFUSAL_BACKOFF;
             if code == ErrorCode::TooManyConnections {
-                database.full_at = Some(now);
+                database.limit_refused_at = Some(now);
             }
         }
-        self.reroute_queued(&name);
+        self.reroute_if_unconnected(&name);
     }
 
-    pub(crate) fn link_lost(&mut self, link: LinkId) {
+    pub(crate) fn connection_lost(&mut self, connection: LinkId) {
         let now = self.now;
-        let Some(state) = self.links.get(&link) else { return };
+        let Some(state) = self.connections.get(&connection) else { return };
         let name = state.database.clone();
         let opening = !state.open;
         if let Some(database) = self.databases.get_mut(&name) {
             database.attempt(now);
             if opening {
-                let pause = OPEN_PAUSE.0 << database.open_failures.min(4);
+                let pause = OPEN_BACKOFF_MIN.0 << database.open_failures.min(4);
                 database.open_failures += 1;
-                database.retry_open = now + Micros(pause).min(OPEN_PAUSE_LONGEST);
+                database.retry_open = now + Micros(pause).min(OPEN_BACKOFF_MAX);
             }
         }
         self.count("links_lost");
-        self.log("link_lost", fields!["database" => &name, "link" => link.0, "opening" => opening]);
-        self.remove_link(link);
+        self.log(
+            "link_lost",
+            fields!["database" => &name, "link" => connection.0, "opening" => opening],
+        );
+        self.remove_connection(connection);
         if opening {
-            self.reroute_queued(&name);
+            self.reroute_if_unconnected(&name);
         }
-        self.open_links(&name);
+        self.open_connections(&name);
     }
 
     /// Closes a connection and ends what was on it.
-    pub(crate) fn drop_link(&mut self, link: LinkId, reason: &'static str) {
-        if !self.links.contains_key(&link) {
+    pub(crate) fn close_connection(&mut self, connection: LinkId, reason: &'static str) {
+        if !self.connections.contains_key(&connection) {
             return;
         }
-        self.out.push(GateAction::CloseLink { link });
+        self.out.push(GateAction::CloseLink { link: connection });
         self.count("links_closed");
-        self.log("link_closed", fields!["link" => link.0, "reason" => reason]);
-        self.remove_link(link);
+        self.log("link_closed", fields!["link" => connection.0, "reason" => reason]);
+        self.remove_connection(connection);
     }
 
-    fn remove_link(&mut self, link: LinkId) {
-        let Some(state) = self.links.remove(&link) else { return };
+    fn remove_connection(&mut self, connection: LinkId) {
+        let Some(state) = self.connections.remove(&connection) else { return };
         if let Some(database) = self.databases.get_mut(&state.database) {
-            database.links.retain(|other| *other != link);
-            database.idle.retain(|other| *other != link);
+            database.connections.retain(|other| *other != connection);
+            database.idle.retain(|other| *other != connection);
             if !state.open {
                 database.opening -= 1;
             }
         }
         for pending in &state.pending {
             match pending.purpose {
-                CommandPurpose::Begin(request) if self.is_waited_for(request, link) => {
+                CommandPurpose::Begin(request) if self.is_awaited(request, connection) => {
                     self.request_connection_lost(request, false);
                 }
-                CommandPurpose::Run(request) if self.is_waited_for(request, link) => {
+                CommandPurpose::Run(request) if self.is_awaited(request, connection) => {
                     self.request_connection_lost(request, true);
                 }
                 // The request was given up or sent elsewhere.
@@ -221,7 +230,7 @@
                 | CommandPurpose::Control => {}
             }
         }
-        if let Some(session) = state.pinned {
+        if let Some(session) = state.transaction_session {
             self.abort_transaction(session, "connection lost");
         }
     }
@@ -229,7 +238,7 @@
     /// Sends commands on a connection and notes what their answers are for.
     pub(crate) fn send(
         &mut self,
-        link: LinkId,
+        connection: LinkId,
         commands: Vec<BackendCommand>,
         purpose: CommandPurpose,
     ) {
@@ -237,7 +246,7 @@
         if commands.is_empty() {
             return;
         }
-        let Some(state) = self.links.get_mut(&link) else { return };
+        let Some(state) = self.connections.get_mut(&connection) else { return };
         state.used = now;
         for _ in &commands {
             state.pending.push_back(PendingCommand { purpose, sent: now });
@@ -245,27 +254,29 @@
         if let Some(database) = self.databases.get_mut(&state.database) {
             database.attempt(now);
         }
-        self.out.push(GateAction::Send { link, commands });
+        self.out.push(GateAction::Send { link: connection, commands });
     }
 
     /// Notes that a database answered.
     fn answered(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
-        let waiting = database.links.iter().any(|link| {
-            self.links.get(link).is_some_and(|link| !link.open || !link.pending.is_empty())
+        let waiting = database.connections.iter().any(|connection| {
+            self.connections
+                .get(connection)
+                .is_some_and(|connection| !connection.open || !connection.pending.is_empty())
         });
         let Some(database) = self.databases.get_mut(name) else { return };
         database.answered = Some(now);
         database.trying_since = waiting.then_some(now);
     }
 
-    pub(crate) fn link_answered(&mut self, link: LinkId, answer: BackendAnswer) {
+    pub(crate) fn connection_answered(&mut self, connection: LinkId, answer: BackendAnswer) {
         let now = self.now;
-        let Some(state) = self.links.get_mut(&link) else { return };
+        let Some(state) = self.connections.get_mut(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let Some(pending) = state.pending.pop_front() else {
-            return self.drop_link(link, "answer without a command");
+            return self.close_connection(connection, "answer without a command");
         };
         state.used = now;
         self.answered(&name);
@@ -294,74 +305,74 @@
                 if let AnswerEnd::Failed { code, .. } = &answer.end {
                     let record = fields!["database" => &name, "code" => code.name()];
                     self.log("setup_failed", record);
-                    if let Some(state) = self.links.get_mut(&link) {
-                        state.doomed = true;
+                    if let Some(state) = self.connections.get_mut(&connection) {
+                        state.close_when_idle = true;
                     }
                 }
             }
-            CommandPurpose::Begin(request) if self.is_waited_for(request, link) => {
-                self.begin_answered(request, link, &answer);
+            CommandPurpose::Begin(request) if self.is_awaited(request, connection) => {
+                self.begin_answered(request, connection, &answer);
             }
-            CommandPurpose::Run(request) if self.is_waited_for(request, link) => {
-                self.statement_answered(request, link, answer);
+            CommandPurpose::Run(request) if self.is_awaited(request, connection) => {
+                self.statement_answered(request, connection, answer);
             }
             CommandPurpose::Begin(_) | CommandPurpose::Run(_) => {
-                self.orphan_answered(link, &answer)
+                self.abandoned_statement_answered(connection, &answer)
             }
             CommandPurpose::Report => {
-                self.report_answered(link, pending.sent, &answer);
+                self.report_answered(connection, pending.sent, &answer);
                 self.step_failover(&cluster);
             }
-            CommandPurpose::Fence => self.fence_answered(link, pending.sent, &answer),
-            CommandPurpose::Demote => self.demote_answered(link, &answer),
+            CommandPurpose::Fence => self.fence_answered(connection, pending.sent, &answer),
+            CommandPurpose::Demote => self.demote_answered(connection, &answer),
             CommandPurpose::Rollback | CommandPurpose::Unfence | CommandPurpose::Control => {}
         }
-        self.settle_link(link);
+        self.release_connection(connection);
     }
 
     /// The request of an answer was given up. What it left open is rolled back.
-    fn orphan_answered(&mut self, link: LinkId, answer: &BackendAnswer) {
-        let Some(state) = self.links.get_mut(&link) else { return };
-        state.pinned = None;
+    fn abandoned_statement_answered(&mut self, connection: LinkId, answer: &BackendAnswer) {
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        state.transaction_session = None;
         if answer.state != SessionState::Idle && state.pending.is_empty() {
-            self.send(link, vec![BackendCommand::Rollback], CommandPurpose::Rollback);
+            self.send(connection, vec![BackendCommand::Rollback], CommandPurpose::Rollback);
         }
     }
 
     /// Gives a connection back once nothing is in flight on it.
-    fn settle_link(&mut self, link: LinkId) {
-        let Some(state) = self.links.get(&link) else { return };
-        if !state.pending.is_empty() || state.pinned.is_some() {
+    fn release_connection(&mut self, connection: LinkId) {
+        let Some(state) = self.connections.get(&connection) else { return };
+        if !state.pending.is_empty() || state.transaction_session.is_some() {
             return;
         }
-        if state.doomed {
-            return self.drop_link(link, "state in doubt");
+        if state.close_when_idle {
+            return self.close_connection(connection, "state in doubt");
         }
         let name = state.database.clone();
-        let spent = state.is_spent();
+        let spent = state.needs_reset();
         if spent && self.databases.get(&name).is_some_and(|database| database.peer.is_some()) {
-            return self.drop_link(link, "bound to one session");
+            return self.close_connection(connection, "bound to one session");
         }
         let Some(database) = self.databases.get_mut(&name) else { return };
-        if !database.idle.contains(&link) {
-            database.idle.push(link);
+        if !database.idle.contains(&connection) {
+            database.idle.push(connection);
         }
         self.dispatch_queued(&name);
     }
 
     /// Returns a connection for a command that does not belong to a client, if one is open.
-    pub(crate) fn control_link(&mut self, name: &Name) -> Option<LinkId> {
+    pub(crate) fn control_connection(&mut self, name: &Name) -> Option<LinkId> {
         let database = self.databases.get_mut(name)?;
-        if let Some(link) = database.idle.pop() {
-            return Some(link);
+        if let Some(connection) = database.idle.pop() {
+            return Some(connection);
         }
-        let links = &self.links;
+        let connections = &self.connections;
         database
-            .links
+            .connections
             .iter()
-            .filter_map(|id| links.get(id).map(|link| (id, link)))
-            .filter(|(_, link)| link.open && link.pinned.is_none())
-            .min_by_key(|(_, link)| link.pending.len())
+            .filter_map(|id| connections.get(id).map(|connection| (id, connection)))
+            .filter(|(_, connection)| connection.open && connection.transaction_session.is_none())
+            .min_by_key(|(_, connection)| connection.pending.len())
             .map(|(id, _)| *id)
     }
 
@@ -370,22 +381,28 @@
         let now = self.now;
         let mut silent = Vec::new();
         let mut surplus: Vec<(Name, LinkId, Micros)> = Vec::new();
-        for (id, link) in &self.links {
-            if !link.open {
-                if now >= link.opened_at + OPEN_TIME {
+        for (id, connection) in &self.connections {
+            if !connection.open {
+                if now >= connection.opened_at + OPEN_TIMEOUT {
                     silent.push(*id);
                 }
                 continue;
             }
-            let Some(pending) = link.pending.front() else {
-                if link.pinned.is_none() && now >= link.used + SURPLUS_TIME {
-                    surplus.push((link.database.clone(), *id, link.used));
+            let Some(pending) = connection.pending.front() else {
+                if connection.transaction_session.is_none()
+                    && now >= connection.used + SURPLUS_IDLE_TIMEOUT
+                {
+                    surplus.push((connection.database.clone(), *id, connection.used));
                 }
                 continue;
             };
             let limit = match pending.purpose {
                 CommandPurpose::Begin(request) | CommandPurpose::Run(request) => {
-                    if self.is_waited_for(request, *id) { Micros::MAX } else { ORPHAN_TIME }
+                    if self.is_awaited(request, *id) {
+                        Micros::MAX
+                    } else {
+                        ABANDONED_STATEMENT_TIMEOUT
+                    }
                 }
                 CommandPurpose::Report
                 | CommandPurpose::Fence
@@ -393,36 +410,36 @@
                 | CommandPurpose::Unfence
                 | CommandPurpose::Demote
                 | CommandPurpose::Control
-                | CommandPurpose::Rollback => REPORT_TIME,
+                | CommandPurpose::Rollback => REPORT_TIMEOUT,
             };
             if now >= pending.sent.saturating_add(limit) {
                 silent.push(*id);
             }
         }
-        for link in silent {
-            self.out.push(GateAction::CloseLink { link });
-            self.link_lost(link);
+        for connection in silent {
+            self.out.push(GateAction::CloseLink { link: connection });
+            self.connection_lost(connection);
         }
-        for (name, link, used) in surplus {
+        for (name, connection, used) in surplus {
             let Some(database) = self.databases.get(&name) else { continue };
             if database.peer.is_some() {
-                if now >= used + PEER_SURPLUS_TIME {
-                    self.drop_link(link, "unused");
+                if now >= used + PEER_IDLE_TIMEOUT {
+                    self.close_connection(connection, "unused");
                 }
                 continue;
             }
-            let share = self.steady_links(&database.listed.cluster);
-            if share > 1 && now < used + AMPLE_SURPLUS_TIME {
+            let share = self.steady_connections(&database.listed.cluster);
+            if share > 1 && now < used + LARGE_SHARE_IDLE_TIMEOUT {
                 continue;
             }
-            if database.links.len() > share as usize || !self.keeps_link(&name) {
-                self.drop_link(link, "unused");
+            if database.connections.len() > share as usize || !self.keeps_connection_open(&name) {
+                self.close_connection(connection, "unused");
             }
         }
         let due: Vec<Name> = self
             .databases
             .iter()
-            .filter(|(_, database)| database.is_due())
+            .filter(|(_, database)| database.needs_dispatch())
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
@@ -430,7 +447,7 @@
         }
     }
 
-    fn is_waited_for(&self, request: WorkId, link: LinkId) -> bool {
-        self.requests.get(&request).is_some_and(|request| request.link == Some(link))
+    fn is_awaited(&self, request: WorkId, connection: LinkId) -> bool {
+        self.requests.get(&request).is_some_and(|request| request.connection == Some(connection))
     }
 }
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -21,46 +21,46 @@
 
 /// Silence of a database after which new requests go elsewhere. Far above a round trip between data
 /// centres, below what a queue of 16 statements takes only in rare cases.
-pub(crate) const UNRESPONSIVE: Micros = Micros::from_millis(350);
+pub(crate) const UNRESPONSIVE_TIMEOUT: Micros = Micros::from_millis(350);
 
 /// Silence of another node after which a further connection to it is opened to see whether it answers. Its
-/// requests may wait in a queue for longer. What is left until [`UNRESPONSIVE`] is the time for the answer.
-const PEER_PROBE: Micros = Micros::from_millis(150);
+/// requests may wait in a queue for longer. What is left until [`UNRESPONSIVE_TIMEOUT`] is the time for the answer.
+const PEER_PROBE_DELAY: Micros = Micros::from_millis(150);
 
 /// Requests that all nodes together send to a database for each statement that it executes at once.
 const SENT_PER_SLOT: u32 = 2;
 
 /// Slots for each further request that the only node of a database sends, so that a slot that becomes free has
 /// the next request at once: a round trip is a small part of a statement.
-const SLOTS_PER_SPARE: u32 = 4;
+const SLOTS_PER_EXTRA_REQUEST: u32 = 4;
 
 /// Part of a database's connections that the nodes use together in a steady state. After all VMs lost power
 /// the databases keep the old connections for seconds, and the new processes need the other half.
-const STEADY_PART: u32 = 2;
+const STEADY_SHARE_DIVISOR: u32 = 2;
 
 /// Time after a refusal for the limit in which a node keeps to its equal share.
-const FULL_TIME: Micros = Micros::from_millis(1_000);
+const LIMIT_REFUSAL_TTL: Micros = Micros::from_millis(1_000);
 
 /// Time for which an applied position is believed; a replica that catches up gains on it.
-const APPLIED_TIME: Micros = Micros::from_millis(150);
+const APPLIED_POSITION_TTL: Micros = Micros::from_millis(150);
 
 /// Connections beyond the equal share that a node opens while the database has spare ones.
 const EXTRA_CONNECTIONS: u32 = 3;
 
 /// The same where the share itself is several connections.
-const AMPLE_EXTRA_CONNECTIONS: u32 = 2;
+const LARGE_SHARE_EXTRA_CONNECTIONS: u32 = 2;
 
 /// Time since its last answer for which a database counts as going on: several statements of the slowest kind.
-const MOVING_TIME: Micros = Micros::from_millis(150);
+const PROGRESS_TIMEOUT: Micros = Micros::from_millis(150);
 
 /// Part of an expected wait that is added to it, as statements take unevenly long.
-const WAIT_MARGIN_PART: u64 = 3;
+const WAIT_MARGIN_DIVISOR: u64 = 3;
 
 /// Time in which an estimate without new answers halves, so that a database that was slow is tried again.
 const LATENCY_HALF_LIFE: Micros = Micros::from_millis(400);
 
 /// Least estimate; below it differences come from the network.
-const LATENCY_LEAST: Micros = Micros::from_millis(2);
+const LATENCY_MIN: Micros = Micros::from_millis(2);
 
 /// Smoothed time from sending a statement to its answer, the database's own queue included.
 #[derive(Clone, Copy, Debug, Default)]
@@ -83,7 +83,7 @@
 
     pub(crate) fn value(&self, now: Micros) -> Micros {
         let idle = now.saturating_sub(self.observed).0 / LATENCY_HALF_LIFE.0;
-        Micros(self.smoothed.0 >> idle.min(20)).max(LATENCY_LEAST)
+        Micros(self.smoothed.0 >> idle.min(20)).max(LATENCY_MIN)
     }
 }
 
@@ -101,7 +101,7 @@
     /// Requests that this node sends at once.
     slots: u32,
     /// Open connections and those being opened.
-    pub(crate) links: Vec<LinkId>,
+    pub(crate) connections: Vec<LinkId>,
     pub(crate) idle: Vec<LinkId>,
     pub(crate) opening: u32,
     pub(crate) report: Option<DatabaseReport>,
@@ -109,7 +109,7 @@
     pub(crate) applied: Option<LogPoint>,
     pub(crate) applied_at: Micros,
     /// When it last refused a connection for its limit.
-    pub(crate) full_at: Option<Micros>,
+    pub(crate) limit_refused_at: Option<Micros>,
     /// Since when an attempt to reach it is without an answer.
     pub(crate) trying_since: Option<Micros>,
     pub(crate) answered: Option<Micros>,
@@ -136,14 +136,14 @@
             leaving_since: None,
             queue: SlotQueue::new(QueueConfig { slots: 1, ranks: RANKS }),
             slots: 1,
-            links: Vec::new(),
+            connections: Vec::new(),
             idle: Vec::new(),
             opening: 0,
             report: None,
             reported: None,
             applied: None,
             applied_at: Micros::ZERO,
-            full_at: None,
+            limit_refused_at: None,
             trying_since: None,
             answered: None,
             chosen: Micros::ZERO,
@@ -163,7 +163,7 @@
     }
 
     pub(crate) fn is_responsive(&self, now: Micros) -> bool {
-        self.silent_since().is_none_or(|since| now < since + UNRESPONSIVE)
+        self.unanswered_since().is_none_or(|since| now < since + UNRESPONSIVE_TIMEOUT)
     }
 
     /// Tells whether it stands for another node that owes answers and should be probed.
@@ -171,11 +171,11 @@
         self.peer.is_some()
             && self.opening == 0
             && now >= self.retry_open
-            && self.silent_since().is_some_and(|since| now >= since + PEER_PROBE)
+            && self.unanswered_since().is_some_and(|since| now >= since + PEER_PROBE_DELAY)
     }
 
     /// Returns since when attempts to reach it or statements are without an answer.
-    pub(crate) fn silent_since(&self) -> Option<Micros> {
+    pub(crate) fn unanswered_since(&self) -> Option<Micros> {
         match (self.trying_since, self.overdue_since) {
             (Some(trying), Some(overdue)) => Some(trying.min(overdue)),
             (trying, overdue) => trying.or(overdue),
@@ -188,7 +188,7 @@
     pub(crate) fn set_concurrency(&mut self, nodes: u32) {
         let executed = self.listed.slots.max(1);
         let slots = if nodes <= 1 && self.peer.is_none() {
-            executed + executed.div_ceil(SLOTS_PER_SPARE)
+            executed + executed.div_ceil(SLOTS_PER_EXTRA_REQUEST)
         } else {
             (executed * SENT_PER_SLOT).div_ceil(nodes.max(1)) + 1
         };
@@ -199,50 +199,50 @@
     }
 
     /// Tells whether time alone may let it send something or open a connection.
-    pub(crate) fn is_due(&self) -> bool {
+    pub(crate) fn needs_dispatch(&self) -> bool {
         let waits = self.queue.stats().waiting.0.iter().any(|waiting| *waiting > 0);
-        waits || self.report_wanted || self.links.is_empty()
+        waits || self.report_wanted || self.connections.is_empty()
     }
 
     /// Returns the requests that wait or run.
     pub(crate) fn load(&self) -> u32 {
         let waiting: u32 = self.queue.stats().waiting.0.iter().sum();
-        let busy = self.links.len() - self.idle.len();
+        let busy = self.connections.len() - self.idle.len();
         waiting + u32::try_from(busy).unwrap_or(u32::MAX).saturating_sub(self.opening)
     }
 
     /// Returns how many connections this node may have, given its share in a steady state.
-    pub(crate) fn link_limit(&self, now: Micros, share: u32) -> u32 {
-        let extra = if share > 1 { AMPLE_EXTRA_CONNECTIONS } else { EXTRA_CONNECTIONS };
+    pub(crate) fn connection_limit(&self, now: Micros, share: u32) -> u32 {
+        let extra = if share > 1 { LARGE_SHARE_EXTRA_CONNECTIONS } else { EXTRA_CONNECTIONS };
         if self.is_full(now) { share } else { share + extra }
     }
 
     /// Tells whether it refused a connection for its limit a short while ago.
     pub(crate) fn is_full(&self, now: Micros) -> bool {
-        self.full_at.is_some_and(|at| now < at + FULL_TIME)
+        self.limit_refused_at.is_some_and(|at| now < at + LIMIT_REFUSAL_TTL)
     }
 
     /// Tells whether it has no connection for this node and will not get one soon.
-    pub(crate) fn is_closed(&self, now: Micros) -> bool {
-        self.is_full(now) && self.links.len() == self.opening as usize
+    pub(crate) fn has_no_connection(&self, now: Micros) -> bool {
+        self.is_full(now) && self.connections.len() == self.opening as usize
     }
 
     /// Tells whether it was found to lack a position, recently enough to believe it still does.
     pub(crate) fn lacks(&self, now: Micros, point: Option<LogPoint>) -> bool {
-        now < self.applied_at + APPLIED_TIME
+        now < self.applied_at + APPLIED_POSITION_TTL
             && self.applied.is_some_and(|applied| Some(applied) < point)
     }
 
     /// Tells whether a further request of a route would wait too long for its latency objective although the
     /// database goes on answering. While it does not, requests wait: what comes next is not known.
     pub(crate) fn is_overloaded(&self, now: Micros, route: &RouteConfig) -> bool {
-        let moving = self.command_answered.is_some_and(|at| now < at + MOVING_TIME);
+        let moving = self.command_answered.is_some_and(|at| now < at + PROGRESS_TIMEOUT);
         if self.peer.is_some() || !moving {
             return false;
         }
         let wait = self.queue.expected_wait(now, route.rank);
         let service = self.queue.service_time(&route.name);
-        wait + Micros(wait.0 / WAIT_MARGIN_PART) + service > route.target && wait > service
+        wait + Micros(wait.0 / WAIT_MARGIN_DIVISOR) + service > route.target && wait > service
     }
 
     /// Returns the time that a further request may expect to take.
@@ -258,7 +258,7 @@
 
 /// Returns the connections that each node may keep open: one if there are fewer than nodes.
 pub(crate) fn steady_share(connections: u32, nodes: u32) -> u32 {
-    (connections / STEADY_PART / nodes.max(1)).max(1)
+    (connections / STEADY_SHARE_DIVISOR / nodes.max(1)).max(1)
 }
 
 /// What a command on a connection was sent for.
@@ -285,16 +285,16 @@
 
 /// A connection to a database.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct BackendConnection {
     pub(crate) database: Name,
     pub(crate) cluster: Name,
     pub(crate) open: bool,
     pub(crate) opened_at: Micros,
     pub(crate) pending: VecDeque<PendingCommand>,
     /// The session whose transaction is open here.
-    pub(crate) pinned: Option<SessionId>,
+    pub(crate) transaction_session: Option<SessionId>,
     /// The connection's state is in doubt; it is closed once nothing is in flight.
-    pub(crate) doomed: bool,
+    pub(crate) close_when_idle: bool,
     pub(crate) used: Micros,
     values: BTreeMap<Name, Name>,
     prepared: FastMap<(StatementAccess, Name), Name>,
@@ -304,16 +304,16 @@
 /// Prepared statements that are kept on one connection before it is reset.
 const PREPARED_LIMIT: usize = 256;
 
-impl Link {
+impl BackendConnection {
     pub(crate) fn new(database: Name, cluster: Name, now: Micros) -> Self {
-        Link {
+        BackendConnection {
             database,
             cluster,
             open: false,
             opened_at: now,
             pending: VecDeque::new(),
-            pinned: None,
-            doomed: false,
+            transaction_session: None,
+            close_when_idle: false,
             used: now,
             values: BTreeMap::new(),
             prepared: FastMap::default(),
@@ -322,21 +322,21 @@
     }
 
     /// Tells whether a session's values can be set without a reset.
-    pub(crate) fn fits(&self, values: &BTreeMap<Name, Name>) -> bool {
+    pub(crate) fn can_adopt_without_reset(&self, values: &BTreeMap<Name, Name>) -> bool {
         self.values.keys().all(|name| values.contains_key(name))
     }
 
     /// Returns the number of values that differ from the session's.
-    pub(crate) fn distance(&self, values: &BTreeMap<Name, Name>) -> usize {
+    pub(crate) fn adoption_cost(&self, values: &BTreeMap<Name, Name>) -> usize {
         let differing = values.iter().filter(|(name, value)| self.values.get(*name) != Some(value));
-        let reset = if self.fits(values) { 0 } else { values.len() + 1 };
+        let reset = if self.can_adopt_without_reset(values) { 0 } else { values.len() + 1 };
         differing.count() + reset
     }
 
     /// Returns the commands that give the connection exactly the session's values.
-    pub(crate) fn adopt(&mut self, values: &BTreeMap<Name, Name>) -> Vec<BackendCommand> {
+    pub(crate) fn adopt_values(&mut self, values: &BTreeMap<Name, Name>) -> Vec<BackendCommand> {
         let mut commands = Vec::new();
-        if !self.fits(values) || self.prepared.len() >= PREPARED_LIMIT {
+        if !self.can_adopt_without_reset(values) || self.prepared.len() >= PREPARED_LIMIT {
             self.values.clear();
             self.prepared.clear();
             commands.push(BackendCommand::Reset);
@@ -369,12 +369,12 @@
 
     /// Tells whether the connection cannot be given the state of any session again: another node has no
     /// command that clears it.
-    pub(crate) fn is_spent(&self) -> bool {
+    pub(crate) fn needs_reset(&self) -> bool {
         !self.values.is_empty() || self.prepared.len() >= PREPARED_LIMIT
     }
 
     /// Forgets the prepared statements, which the database no longer knows.
-    pub(crate) fn forget_prepared(&mut self) {
+    pub(crate) fn clear_prepared(&mut self) {
         self.prepared.clear();
     }
 }
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -17,7 +17,7 @@
         let Some(database) = self.databases.get(name) else { return };
         let nodes = match database.peer {
             Some(_) => 1,
-            None => self.sharing_nodes(&database.listed.cluster),
+            None => self.sharing_node_count(&database.listed.cluster),
         };
         let Some(database) = self.databases.get_mut(name) else { return };
         database.set_concurrency(nodes);
@@ -46,24 +46,24 @@
             let Some(database) = self.databases.get_mut(name) else { return };
             let values = self.sessions.get(&session).map(|session| &session.values);
             let best = (0..database.idle.len()).min_by_key(|index| {
-                let link = self.links.get(&database.idle[*index]);
-                match (link, values) {
-                    (Some(link), Some(values)) => link.distance(values),
+                let connection = self.connections.get(&database.idle[*index]);
+                match (connection, values) {
+                    (Some(connection), Some(values)) => connection.adoption_cost(values),
                     _ => usize::MAX,
                 }
             });
             let Some(index) = best else { break };
-            let link = database.idle.swap_remove(index);
-            self.dispatch_request(id, link);
+            let connection = database.idle.swap_remove(index);
+            self.dispatch_request(id, connection);
         }
-        self.open_links(name);
+        self.open_connections(name);
     }
 
     /// Sends a request on a connection that is free.
-    pub(crate) fn dispatch_request(&mut self, id: WorkId, link: LinkId) {
+    pub(crate) fn dispatch_request(&mut self, id: WorkId, connection: LinkId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.link = Some(link);
+        request.connection = Some(connection);
         request.sent = Some(now);
         request.tries += 1;
         request.stage = RequestStage::Sent;
@@ -71,16 +71,16 @@
             RequestKind::Begin { begin, .. } => {
                 let after = request.after;
                 let session = request.session;
-                let Some(setup) = self.setup_commands(session, link) else { return };
-                self.send(link, setup, CommandPurpose::Setup);
-                if let Some(state) = self.links.get_mut(&link) {
-                    state.pinned = Some(session);
+                let Some(setup) = self.setup_commands(session, connection) else { return };
+                self.send(connection, setup, CommandPurpose::Setup);
+                if let Some(state) = self.connections.get_mut(&connection) {
+                    state.transaction_session = Some(session);
                 }
                 let command = BackendCommand::Run { id: begin.id, text: begin.text, after };
-                self.send(link, vec![command], CommandPurpose::Begin(id));
+                self.send(connection, vec![command], CommandPurpose::Begin(id));
             }
             RequestKind::Read | RequestKind::Write | RequestKind::Continue => {
-                self.send_statement(id, link, true);
+                self.send_statement(id, connection, true);
             }
         }
     }
@@ -88,24 +88,30 @@
     pub(crate) fn setup_commands(
         &mut self,
         session: SessionId,
-        link: LinkId,
+        connection: LinkId,
     ) -> Option<Vec<BackendCommand>> {
         let session = self.sessions.get(&session)?;
-        Some(self.links.get_mut(&link)?.adopt(&session.values))
+        Some(self.connections.get_mut(&connection)?.adopt_values(&session.values))
     }
 
     /// Sends the statement itself, behind the commands that give the connection the session's state.
-    pub(crate) fn send_statement(&mut self, id: WorkId, link: LinkId, outside_transaction: bool) {
+    pub(crate) fn send_statement(
+        &mut self,
+        id: WorkId,
+        connection: LinkId,
+        outside_transaction: bool,
+    ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.sent = Some(self.now);
         request.stage = RequestStage::Sent;
         let after = if outside_transaction { request.after } else { None };
         let (session, client_request) = (request.session, request.client_request.clone());
-        let Some(mut setup) = self.setup_commands(session, link) else { return };
+        let Some(mut setup) = self.setup_commands(session, connection) else { return };
         let command = match &client_request.statement {
             Statement::Execute { name, arguments } => {
                 let prepared = self.sessions.get(&session).and_then(|s| s.prepared.get(name));
-                let (Some((access, shape)), Some(state)) = (prepared, self.links.get_mut(&link))
+                let (Some((access, shape)), Some(state)) =
+                    (prepared, self.connections.get_mut(&connection))
                 else {
                     return;
                 };
@@ -115,25 +121,26 @@
             }
             _ => BackendCommand::Run { id: client_request.id, text: client_request.text, after },
         };
-        self.send(link, setup, CommandPurpose::Setup);
-        self.send(link, vec![command], CommandPurpose::Run(id));
+        self.send(connection, setup, CommandPurpose::Setup);
+        self.send(connection, vec![command], CommandPurpose::Run(id));
     }
 
     pub(crate) fn continue_transaction(&mut self, id: WorkId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(session) = self.sessions.get(&request.session) else { return };
         let Transaction::Open(open) = &session.transaction else { return };
-        let link = open.link;
-        let lost = match self.links.get(&link) {
-            Some(state) => state.doomed || !state.open,
+        let connection = open.connection;
+        let lost = match self.connections.get(&connection) {
+            Some(state) => state.close_when_idle || !state.open,
             None => true,
         };
-        request.link = Some(link);
-        request.database = self.links.get(&link).map(|link| link.database.clone());
+        request.connection = Some(connection);
+        request.database =
+            self.connections.get(&connection).map(|connection| connection.database.clone());
         if lost {
             return self.fail_transaction(id, ErrorCode::Aborted, "the connection was lost");
         }
         request.tries += 1;
-        self.send_statement(id, link, false);
+        self.send_statement(id, connection, false);
     }
 }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -11,7 +11,7 @@
 use crate::{Gate, GateAction, fields};
 
 /// Time after which the balancer has taken the node out: two probes, a second apart, and one interval.
-const BALANCER_TIME: Micros = Micros::from_millis(2_300);
+const BALANCER_REMOVAL_DELAY: Micros = Micros::from_millis(2_300);
 
 /// Time kept back for exiting.
 const EXIT_MARGIN: Micros = Micros::from_millis(500);
@@ -67,10 +67,10 @@
                 }
             }
         }
-        if now >= since + BALANCER_TIME.min(Micros(grace.0 / 2)) {
+        if now >= since + BALANCER_REMOVAL_DELAY.min(Micros(grace.0 / 2)) {
             self.close_idle_sessions();
         }
-        if self.sessions.is_empty() && now >= since + BALANCER_TIME
+        if self.sessions.is_empty() && now >= since + BALANCER_REMOVAL_DELAY
             || now + EXIT_MARGIN >= since + grace
         {
             self.drain.complete = true;
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -52,7 +52,7 @@
                     "leaving": database.listed.leaving,
                     "listed": database.unlisted.is_none(),
                     "responsive": database.is_responsive(now),
-                    "links": database.links.len(),
+                    "links": database.connections.len(),
                     "idle_links": database.idle.len(),
                     "load": database.load(),
                     "latency_ms": database.latency.value(now).as_millis(),
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -156,8 +156,8 @@
         let now = self.now;
         let (_, record) = self.promotion_lease.record();
         let abandoned = !record.changing.is_empty() && !self.promotion_lease.is_held_elsewhere(now);
-        let unfence_pending = self.links.values().any(|link| {
-            link.pending.iter().any(|pending| pending.purpose == CommandPurpose::Unfence)
+        let unfence_pending = self.connections.values().any(|connection| {
+            connection.pending.iter().any(|pending| pending.purpose == CommandPurpose::Unfence)
         });
         let write = if self.failovers.running.is_empty() && !unfence_pending {
             if abandoned
@@ -479,9 +479,9 @@
         self.failovers.due_since.remove(cluster);
         self.failovers.missing_log_since.remove(cluster);
         if let Some(old) = failover.old
-            && let Some(link) = self.control_link(&old)
+            && let Some(connection) = self.control_connection(&old)
         {
-            self.send(link, vec![BackendCommand::Demote { term }], CommandPurpose::Control);
+            self.send(connection, vec![BackendCommand::Demote { term }], CommandPurpose::Control);
         }
     }
 
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -27,15 +27,15 @@
             .as_ref()
             .and_then(|old| self.databases.get(old))
             .is_some_and(|old| old.is_responsive(self.now));
-        let link = old.filter(|_| answers).and_then(|old| self.control_link(&old));
-        let Some(link) = link else { return self.choose_new_primary(cluster) };
+        let connection = old.filter(|_| answers).and_then(|old| self.control_connection(&old));
+        let Some(connection) = connection else { return self.choose_new_primary(cluster) };
         self.set_stage(cluster, FailoverStage::Demoting);
-        self.send(link, vec![BackendCommand::Demote { term }], CommandPurpose::Demote);
+        self.send(connection, vec![BackendCommand::Demote { term }], CommandPurpose::Demote);
     }
 
     /// Takes in the report that answers a demotion.
-    pub(crate) fn demote_answered(&mut self, link: LinkId, answer: &BackendAnswer) {
-        let Some(state) = self.links.get(&link) else { return };
+    pub(crate) fn demote_answered(&mut self, connection: LinkId, answer: &BackendAnswer) {
+        let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let position = answer.report.map(|report| report.received.to_string());
         self.log(
@@ -88,8 +88,8 @@
     }
 
     pub(crate) fn unfence(&mut self, name: &Name) {
-        if let Some(link) = self.control_link(name) {
-            self.send(link, vec![BackendCommand::Unfence], CommandPurpose::Unfence);
+        if let Some(connection) = self.control_connection(name) {
+            self.send(connection, vec![BackendCommand::Unfence], CommandPurpose::Unfence);
         }
     }
 
@@ -120,14 +120,14 @@
             .collect();
         let mut asked = false;
         for name in due {
-            let Some(link) = self.control_link(&name) else {
+            let Some(connection) = self.control_connection(&name) else {
                 if let Some(database) = self.databases.get_mut(&name) {
                     database.report_wanted = true;
                 }
-                self.open_links(&name);
+                self.open_connections(&name);
                 continue;
             };
-            self.send(link, vec![BackendCommand::Fence { term }], CommandPurpose::Fence);
+            self.send(connection, vec![BackendCommand::Fence { term }], CommandPurpose::Fence);
             if let Some(failover) = self.failovers.running.get_mut(cluster) {
                 failover.asked.insert(name, now);
             }
@@ -144,8 +144,13 @@
     }
 
     /// Takes in the report that answers a fence.
-    pub(crate) fn fence_answered(&mut self, link: LinkId, sent: Micros, answer: &BackendAnswer) {
-        let Some(state) = self.links.get(&link) else { return };
+    pub(crate) fn fence_answered(
+        &mut self,
+        connection: LinkId,
+        sent: Micros,
+        answer: &BackendAnswer,
+    ) {
+        let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let Some(failover) = self.failovers.running.get_mut(&cluster) else { return };
         let Some(report) = answer.report else {
--- a/crates/gate/src/fleet.rs
+++ b/crates/gate/src/fleet.rs
@@ -17,14 +17,14 @@
 const COMPLETE_PERCENT: u32 = 50;
 
 /// Part by which the number has to differ from the stored one.
-const DIFFERS_PERCENT: u32 = 20;
+const COUNT_CHANGE_PERCENT: u32 = 20;
 
 /// Time that the others get to register; after it they count as gone. The time to live of a registration, and
 /// within the users' shortest bound of a recovery (12 s).
-const REGISTER_TIME: Micros = Micros::from_millis(3_000);
+const REGISTRATION_TIMEOUT: Micros = Micros::from_millis(3_000);
 
 /// Time for which the number has to differ before it is stored: longer than a restart.
-const DIFFERS_TIME: Micros = Micros::from_millis(5_000);
+const COUNT_CHANGE_DELAY: Micros = Micros::from_millis(5_000);
 
 /// The stored record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 pub(crate) struct FleetState {
     known: u32,
     /// Since when fewer nodes than known are registered.
-    incomplete: Option<Micros>,
+    incomplete_since: Option<Micros>,
     differs: Option<Micros>,
 }
 
@@ -51,11 +51,11 @@
     fn awaits_nodes(&mut self, now: Micros, live: u32) -> bool {
         let complete = live * 100 >= self.known * COMPLETE_PERCENT;
         if self.known as usize <= FEW_NODES || complete {
-            self.incomplete = None;
+            self.incomplete_since = None;
             return false;
         }
-        let since = *self.incomplete.get_or_insert(now);
-        now < since + REGISTER_TIME
+        let since = *self.incomplete_since.get_or_insert(now);
+        now < since + REGISTRATION_TIMEOUT
     }
 }
 
@@ -73,19 +73,20 @@
     /// Ends the wait for nodes, and stores their number if it has changed for long. One node does.
     pub(crate) fn maintain_fleet_count(&mut self) {
         let now = self.now;
-        if self.fleet.incomplete.is_some() {
+        if self.fleet.incomplete_since.is_some() {
             self.update_owners();
         }
         let (live, known) = (self.registry.live(), self.fleet.known);
         let large = live.max(known) as usize > FEW_NODES;
-        if !large || live.abs_diff(known) * 100 <= known * DIFFERS_PERCENT {
+        if !large || live.abs_diff(known) * 100 <= known * COUNT_CHANGE_PERCENT {
             self.fleet.differs = None;
             return;
         }
         let since = *self.fleet.differs.get_or_insert(now);
         let first = self.table.clusters.keys().min();
-        let writes = first.is_some_and(|cluster| self.owner_place(cluster) == 0);
-        if writes && self.registration.role == NodeRole::Owner && now >= since + DIFFERS_TIME {
+        let writes = first.is_some_and(|cluster| self.owner_position(cluster) == 0);
+        if writes && self.registration.role == NodeRole::Owner && now >= since + COUNT_CHANGE_DELAY
+        {
             self.fleet.differs = Some(now);
             self.log("fleet_counted", fields!["nodes" => u64::from(live)]);
             if let Some(bytes) = self.write_record("fleet", &FleetRecord { nodes: live }) {
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -12,6 +12,7 @@
 mod action;
 mod backend;
 mod cluster;
+mod connection;
 mod database;
 mod dispatch;
 mod drain;
@@ -21,7 +22,6 @@
 mod fencing;
 mod fleet;
 mod leadership_proof;
-mod link;
 mod outcome;
 mod owners;
 mod peer;
@@ -62,7 +62,7 @@
 pub use statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
 
 use cluster::ClusterState;
-use database::{Database, Link};
+use database::{BackendConnection, Database};
 use drain::DrainState;
 use failover::FailoverState;
 use fleet::FleetState;
@@ -101,7 +101,7 @@
     backing_off: Vec<WorkId>,
     clusters: FastMap<Name, ClusterState>,
     databases: FastMap<Name, Database>,
-    links: FastMap<LinkId, Link>,
+    connections: FastMap<LinkId, BackendConnection>,
     registry: NodeRegistry,
     promotion_lease: PromotionLease,
     registration: RegistrationState,
@@ -146,7 +146,7 @@
             backing_off: Vec::new(),
             clusters: FastMap::default(),
             databases: FastMap::default(),
-            links: FastMap::default(),
+            connections: FastMap::default(),
             registration: RegistrationState::default(),
             failovers: FailoverState::default(),
             drain: DrainState::default(),
@@ -178,10 +178,10 @@
                 self.request_arrived(session, request);
             }
             GateEvent::SessionClosed { session } => self.close_session(session),
-            GateEvent::LinkOpened { link, point } => self.link_opened(link, point),
-            GateEvent::LinkRefused { link, code } => self.link_refused(link, code),
-            GateEvent::LinkLost { link } => self.link_lost(link),
-            GateEvent::LinkAnswered { link, answer } => self.link_answered(link, *answer),
+            GateEvent::LinkOpened { link, point } => self.connection_opened(link, point),
+            GateEvent::LinkRefused { link, code } => self.connection_refused(link, code),
+            GateEvent::LinkLost { link } => self.connection_lost(link),
+            GateEvent::LinkAnswered { link, answer } => self.connection_answered(link, *answer),
             GateEvent::RoutesChanged(table) => self.routes_changed(*table),
             GateEvent::DatabasesListed(list) => self.databases_listed(list),
             GateEvent::DatabaseChanged(listed) => self.database_listed(listed),
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -61,7 +61,7 @@
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let retry_at = now + pause.unwrap_or(Micros::ZERO);
-        request.link = None;
+        request.connection = None;
         if request.tries >= MAX_TRIES || retry_at >= request.deadline {
             return self.refuse(
                 id,
@@ -90,12 +90,17 @@
     }
 
     /// Handles the answer to `BEGIN`.
-    pub(crate) fn begin_answered(&mut self, id: WorkId, link: LinkId, answer: &BackendAnswer) {
+    pub(crate) fn begin_answered(
+        &mut self,
+        id: WorkId,
+        connection: LinkId,
+        answer: &BackendAnswer,
+    ) {
         let Some(request) = self.requests.get(&id) else { return };
         match &answer.end {
             AnswerEnd::Done(_) => {
                 let open = OpenTransaction {
-                    link,
+                    connection,
                     route: request.route.clone(),
                     wrote: false,
                     idle_since: self.now,
@@ -104,12 +109,12 @@
                     session.transaction = Transaction::Open(open);
                 }
                 self.release_slot(id);
-                self.send_statement(id, link, false);
+                self.send_statement(id, connection, false);
             }
             AnswerEnd::Failed { code, .. } => {
                 let code = *code;
-                if let Some(state) = self.links.get_mut(&link) {
-                    state.pinned = None;
+                if let Some(state) = self.connections.get_mut(&connection) {
+                    state.transaction_session = None;
                 }
                 self.request_declined(id, code);
             }
@@ -134,8 +139,10 @@
                 self.retry_request(id, None, code, ErrorCode::Busy);
             }
             ErrorCode::NoStatement => {
-                if let Some(link) = request.link.and_then(|link| self.links.get_mut(&link)) {
-                    link.forget_prepared();
+                if let Some(connection) =
+                    request.connection.and_then(|connection| self.connections.get_mut(&connection))
+                {
+                    connection.clear_prepared();
                 }
                 self.retry_request(id, None, code, ErrorCode::Busy);
             }
@@ -157,16 +164,21 @@
     }
 
     /// Handles the answer to a client's statement.
-    pub(crate) fn statement_answered(&mut self, id: WorkId, link: LinkId, answer: BackendAnswer) {
+    pub(crate) fn statement_answered(
+        &mut self,
+        id: WorkId,
+        connection: LinkId,
+        answer: BackendAnswer,
+    ) {
         let Some(request) = self.requests.get(&id) else { return };
         let in_transaction =
             matches!(request.kind, RequestKind::Begin { .. } | RequestKind::Continue);
         let commit = request.is_commit();
         if commit
             && answer.state == SessionState::Idle
-            && let Some(state) = self.links.get_mut(&link)
+            && let Some(state) = self.connections.get_mut(&connection)
         {
-            state.pinned = None;
+            state.transaction_session = None;
         }
         match &answer.end {
             AnswerEnd::Done(_) => self.statement_succeeded(id, answer),
@@ -174,7 +186,7 @@
                 let (code, text) = (*code, text.clone());
                 let first = matches!(request.kind, RequestKind::Begin { .. });
                 if first && code.promises_not_run() && request.tries < MAX_TRIES {
-                    self.reopen_transaction(id, link);
+                    self.restore_pending_transaction(id, connection);
                     self.request_declined(id, code);
                 } else if in_transaction {
                     self.fail_transaction(id, code, &text);
@@ -194,14 +206,14 @@
     }
 
     /// Takes back a transaction of which no statement has run.
-    pub(crate) fn reopen_transaction(&mut self, id: WorkId, link: LinkId) {
+    pub(crate) fn restore_pending_transaction(&mut self, id: WorkId, connection: LinkId) {
         let Some(request) = self.requests.get(&id) else { return };
         let RequestKind::Begin { begin, read_only } = request.kind.clone() else { return };
         let (session_id, begun, route) = (request.session, request.begun, request.route.clone());
         if let Some(session) = self.sessions.get_mut(&session_id) {
             session.transaction = Transaction::Pending { begin, read_only, begun, route };
         }
-        self.release_pin(link, session_id);
+        self.release_transaction(connection, session_id);
     }
 
     pub(crate) fn statement_succeeded(&mut self, id: WorkId, answer: BackendAnswer) {
@@ -239,11 +251,11 @@
                 state.proof.commit_acknowledged(&database, sent, answer.point);
             }
         }
-        self.deliver(id, answer);
+        self.reply_success(id, answer);
     }
 
     /// Passes a successful answer on.
-    pub(crate) fn deliver(&mut self, id: WorkId, answer: BackendAnswer) {
+    pub(crate) fn reply_success(&mut self, id: WorkId, answer: BackendAnswer) {
         let AnswerEnd::Done(signature) = answer.end else { return };
         let reply = ClientReply::Done { rows: answer.rows, signature: Some(signature) };
         let commit = self.requests.get(&id).is_some_and(ActiveRequest::is_commit);
@@ -272,7 +284,7 @@
             let state = if commit { Transaction::None } else { Transaction::Failed };
             let transaction = std::mem::replace(&mut session.transaction, state);
             if let Transaction::Open(open) = transaction {
-                self.release_pin(open.link, session_id);
+                self.release_transaction(open.connection, session_id);
             }
         }
         let reply = ClientReply::Failed { code, text: text.to_string() };
@@ -331,16 +343,16 @@
     }
 
     /// Routes the requests that wait at a database which gives no connection.
-    pub(crate) fn reroute_queued(&mut self, name: &Name) {
+    pub(crate) fn reroute_if_unconnected(&mut self, name: &Name) {
         let Some(database) = self.databases.get(name) else { return };
-        if database.links.len() > database.opening as usize {
+        if database.connections.len() > database.opening as usize {
             return;
         }
-        self.move_queued(name);
+        self.reroute_queued_requests(name);
     }
 
     /// Routes the requests that wait at a database again, to others.
-    pub(crate) fn move_queued(&mut self, name: &Name) {
+    pub(crate) fn reroute_queued_requests(&mut self, name: &Name) {
         let queued: Vec<WorkId> = self
             .requests
             .iter()
@@ -439,13 +451,13 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let late = self.now >= request.deadline;
         if request.stage == RequestStage::Sent {
-            let link = request.link;
-            self.note_overdue(id);
+            let connection = request.connection;
+            self.record_overdue(id);
             self.abandon_slot(id);
             self.sent_request_timed_out(id, late);
             // The answer may still come, or never; the next request must not wait for it.
-            if let Some(link) = link {
-                self.drop_link(link, "answer overdue");
+            if let Some(connection) = connection {
+                self.close_connection(connection, "answer overdue");
             }
             return;
         }
@@ -466,7 +478,7 @@
     }
 
     /// Notes that a database owes an answer.
-    pub(crate) fn note_overdue(&mut self, id: WorkId) {
+    pub(crate) fn record_overdue(&mut self, id: WorkId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(sent), Some(name)) = (request.sent, request.database.clone()) else { return };
         if request.may_take_effect()
--- a/crates/gate/src/owners.rs
+++ b/crates/gate/src/owners.rs
@@ -18,14 +18,14 @@
 pub const FEW_NODES: usize = 16;
 
 /// Owners of one cluster at least, so that the loss of one leaves a choice.
-const LEAST_OWNERS: usize = 3;
+const MIN_OWNERS: usize = 3;
 
 /// Clusters for each owning node of a data centre. More would put too much of the traffic on a VM of an eighth
 /// of a core, fewer would keep more permits renewed.
 const CLUSTERS_PER_NODE: usize = 4;
 
 /// Connections that an owner needs for one database to run transactions beside other requests.
-const OWNER_LINKS: u32 = 3;
+const MIN_OWNER_CONNECTIONS: u32 = 3;
 
 /// What the choice of owners depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -102,12 +102,12 @@
     for (node, (centre, capacity)) in &input.nodes {
         centres.entry(centre).or_default().push((node, *capacity));
     }
-    let each = LEAST_OWNERS.div_ceil(centres.len());
+    let each = MIN_OWNERS.div_ceil(centres.len());
     for nodes in centres.values_mut() {
         nodes.sort_by_key(|(node, capacity)| (Reverse(*capacity), owner_score("owners", node)));
         let wanted = (input.clusters.len() * each).div_ceil(CLUSTERS_PER_NODE);
         nodes.truncate(wanted.max(each));
-        for (cluster, owner) in share_clusters(nodes, input.clusters.keys(), each) {
+        for (cluster, owner) in assign_clusters(nodes, input.clusters.keys(), each) {
             owners.entry(cluster.clone()).or_default().push(owner.clone());
         }
     }
@@ -121,7 +121,7 @@
             *first.entry(node.clone()).or_default() += 1;
         }
         let connections = input.clusters.get(cluster).copied().unwrap_or_default();
-        let most = usize::try_from(connections / 2 / OWNER_LINKS).unwrap_or(usize::MAX);
+        let most = usize::try_from(connections / 2 / MIN_OWNER_CONNECTIONS).unwrap_or(usize::MAX);
         chosen.truncate(most.max(1));
     }
     owners
@@ -129,7 +129,7 @@
 
 /// Gives each cluster its best scored nodes among those that have not had their share yet, so that a change
 /// of one node moves little else.
-fn share_clusters<'a>(
+fn assign_clusters<'a>(
     nodes: &[(&'a Name, u32)],
     clusters: impl ExactSizeIterator<Item = &'a Name>,
     each: usize,
@@ -167,7 +167,7 @@
             return;
         }
         let all: Vec<Name> = self.table.clusters.keys().cloned().collect();
-        let owned = all.iter().filter(|cluster| self.owns_links(cluster)).count();
+        let owned = all.iter().filter(|cluster| self.owns_connections(cluster)).count();
         let record = fields![
             "nodes" => u64::from(self.registry.live()),
             "clusters" => u64::try_from(all.len()).unwrap_or(u64::MAX),
@@ -177,7 +177,7 @@
     }
 
     /// Tells whether this node keeps connections to a cluster's databases.
-    pub(crate) fn owns_links(&self, cluster: &Name) -> bool {
+    pub(crate) fn owns_connections(&self, cluster: &Name) -> bool {
         self.is_owner(cluster, &self.settings.node)
     }
 
@@ -187,7 +187,7 @@
 
     /// Returns among how many nodes the connections to a cluster's databases are shared. The first owner has the
     /// share of all nodes that forward to it.
-    pub(crate) fn sharing_nodes(&self, cluster: &Name) -> u32 {
+    pub(crate) fn sharing_node_count(&self, cluster: &Name) -> u32 {
         let first = self.owners.of(cluster).and_then(<[Name]>::first);
         if first == Some(&self.settings.node) { 1 } else { self.owner_count(cluster) }
     }
@@ -199,7 +199,7 @@
     }
 
     /// Returns this node's place among the owners of a cluster, for work that one of them does.
-    pub(crate) fn owner_place(&self, cluster: &Name) -> u64 {
+    pub(crate) fn owner_position(&self, cluster: &Name) -> u64 {
         let place = self.owners.place(cluster, &self.settings.node);
         place.map_or(u64::from(self.registry.live()), |place| place as u64)
     }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -8,22 +8,22 @@
 use model::{FastMap, FastSet, Micros, Name};
 
 use crate::Gate;
-use crate::database::{Database, UNRESPONSIVE};
+use crate::database::{Database, UNRESPONSIVE_TIMEOUT};
 use crate::event::{ListedDatabase, NodeRole, SessionOrigin};
 use crate::request::{OWNER_RETRY_INTERVAL, WorkId};
 
 /// Time for which a node that could not serve requests of a cluster is not asked again, where every node is an
 /// owner.
-const REFUSED_TIME: Micros = Micros::from_millis(300);
+const PEER_REFUSAL_TTL: Micros = Micros::from_millis(300);
 
 /// Time after which an unused entry of a node is removed.
-const UNUSED_TIME: Micros = Micros::from_millis(5_000);
+const UNUSED_PEER_TTL: Micros = Micros::from_millis(5_000);
 
 /// Statements that another node is expected to run at once for this one.
 const PEER_SLOTS: u32 = 3;
 
 /// Requests in progress that a node of another data centre counts as having more.
-const DETOUR_LOAD: u32 = 2;
+const REMOTE_PEER_LOAD_PENALTY: u32 = 2;
 
 /// What is known of other nodes.
 #[derive(Debug, Default)]
@@ -38,14 +38,14 @@
     /// Nodes that owe answers for long.
     silent: FastSet<Name>,
     /// Nodes of other data centres answer.
-    hears_others: bool,
+    hears_other_data_centres: bool,
 }
 
 impl PeerContacts {
     /// Tells whether this node is probably cut off from the other data centres: several nodes are silent, and
     /// none of another data centre answers.
     pub(crate) fn is_isolated(&self) -> bool {
-        self.silent.len() >= 2 && !self.hears_others
+        self.silent.len() >= 2 && !self.hears_other_data_centres
     }
 }
 
@@ -53,7 +53,7 @@
     /// Tells whether requests of a cluster can be expected to be served, here or by a node that owns
     /// connections.
     pub(crate) fn reaches_cluster(&self, cluster: &Name, contacts: &PeerContacts) -> bool {
-        if self.owns_links(cluster) && self.usable_leader(cluster).is_some() {
+        if self.owns_connections(cluster) && self.usable_leader(cluster).is_some() {
             return true;
         }
         let Some(owners) = self.owners.of(cluster) else { return false };
@@ -76,10 +76,11 @@
         let mut heard = FastSet::<Name>::default();
         for entry in self.databases.values() {
             let Some(node) = &entry.peer else { continue };
-            if entry.answered.is_some_and(|at| now < at + UNRESPONSIVE) {
+            if entry.answered.is_some_and(|at| now < at + UNRESPONSIVE_TIMEOUT) {
                 heard.insert(node.clone());
                 let centre = self.registry.get(node).map(|record| record.data_centre.as_str());
-                contacts.hears_others |= centre != Some(self.settings.data_centre.as_str());
+                contacts.hears_other_data_centres |=
+                    centre != Some(self.settings.data_centre.as_str());
             } else if !entry.is_responsive(now) {
                 contacts.silent.insert(node.clone());
             }
@@ -101,22 +102,22 @@
         let owners = self.owners.of(cluster)?;
         let own = owners.iter().position(|node| *node == self.settings.node);
         let warm = self.registration.role == NodeRole::Owner;
-        self.choose_before(id, own.filter(|_| warm).unwrap_or(owners.len()))
+        self.choose_peer_before(id, own.filter(|_| warm).unwrap_or(owners.len()))
     }
 
     /// Chooses a node that may be able to serve a request; returns the entry that stands for it.
     pub(crate) fn choose_peer(&mut self, id: WorkId) -> Option<Name> {
-        self.choose_before(id, usize::MAX)
+        self.choose_peer_before(id, usize::MAX)
     }
 
-    fn choose_before(&mut self, id: WorkId, end: usize) -> Option<Name> {
+    fn choose_peer_before(&mut self, id: WorkId, end: usize) -> Option<Name> {
         if self.is_forwarded(id) {
             return None;
         }
         let request = self.requests.get(&id)?;
         let (cluster, client_database) = (&request.route.cluster, &request.route.database);
         let owners = self.owners.of(cluster);
-        let refused_time = if owners.is_some() { OWNER_RETRY_INTERVAL } else { REFUSED_TIME };
+        let refused_time = if owners.is_some() { OWNER_RETRY_INTERVAL } else { PEER_REFUSAL_TTL };
         let candidates: Vec<&Name> = match owners {
             Some(owners) => owners.iter().take(end).collect(),
             None => self.registry.others().map(|(node, _)| node).collect(),
@@ -141,7 +142,7 @@
                 Some(_) => (u32::from(self.registry.is_standby(node)), place),
                 None => {
                     let near = record.data_centre == self.settings.data_centre.as_str();
-                    let detour = if near { 0 } else { DETOUR_LOAD };
+                    let detour = if near { 0 } else { REMOTE_PEER_LOAD_PENALTY };
                     let load = entry.map_or(0, Database::load) + detour;
                     (load, self.owners.place(cluster, node).unwrap_or(usize::MAX))
                 }
@@ -195,12 +196,12 @@
             .collect();
         for name in probed {
             self.count("peers_probed");
-            self.open_link(&name);
+            self.open_connection(&name);
         }
     }
 
     /// Sends what waits for a node that answers nothing to others.
-    fn leave_silent_peers(&mut self) {
+    fn reroute_from_silent_peers(&mut self) {
         let now = self.now;
         let silent: Vec<Name> = self
             .databases
@@ -211,7 +212,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in silent {
-            self.move_queued(&name);
+            self.reroute_queued_requests(&name);
         }
     }
 
@@ -219,14 +220,14 @@
     pub(crate) fn maintain_peers(&mut self) {
         let now = self.now;
         self.probe_peers();
-        self.leave_silent_peers();
+        self.reroute_from_silent_peers();
         let unused: Vec<Name> = self
             .databases
             .iter()
             .filter(|(_, entry)| match &entry.peer {
                 Some(node) => {
                     let used = entry.answered.unwrap_or_default().max(entry.chosen);
-                    let idle = entry.load() == 0 && now >= used + UNUSED_TIME;
+                    let idle = entry.load() == 0 && now >= used + UNUSED_PEER_TTL;
                     idle || self.registry.last_known(node).is_none()
                 }
                 None => false,
@@ -236,7 +237,7 @@
         for name in unused {
             self.remove_database(&name);
         }
-        self.peers.refused.retain(|_, at| now < *at + REFUSED_TIME);
+        self.peers.refused.retain(|_, at| now < *at + PEER_REFUSAL_TTL);
     }
 }
 
--- a/crates/gate/src/ready.rs
+++ b/crates/gate/src/ready.rs
@@ -8,14 +8,14 @@
 use crate::{Gate, GateAction, fields};
 
 /// Time without the primaries after which a node is not ready: longer than a change of primary.
-const CUT_OFF_TIME: Micros = Micros::from_millis(1_500);
+const UNREACHABLE_GRACE: Micros = Micros::from_millis(1_500);
 
 /// The same for a node that has lost the store or the other data centres too, and so is itself cut off.
-const ISOLATED_TIME: Micros = Micros::from_millis(200);
+const ISOLATED_GRACE: Micros = Micros::from_millis(200);
 
 /// Time after which a node that is not ready closes idle sessions: the balancer's two probes have taken it
 /// out by then.
-const CLOSE_AFTER: Micros = Micros::from_millis(2_100);
+const CLOSE_SESSIONS_DELAY: Micros = Micros::from_millis(2_100);
 
 /// Readiness of a node.
 #[derive(Debug, Default)]
@@ -23,9 +23,9 @@
     ready: bool,
     announced: bool,
     /// Since when most primaries are not usable.
-    cut_off: Option<Micros>,
+    unreachable_since: Option<Micros>,
     /// Since when the node is not ready.
-    unready: Option<Micros>,
+    unready_since: Option<Micros>,
 }
 
 impl Gate {
@@ -42,20 +42,21 @@
             usable += u32::from(self.reaches_cluster(cluster, &contacts));
         }
         if usable * 2 >= clusters {
-            self.ready.cut_off = None;
+            self.ready.unreachable_since = None;
         } else {
-            self.ready.cut_off.get_or_insert(now);
+            self.ready.unreachable_since.get_or_insert(now);
         }
-        let cut_off = self.ready.cut_off;
+        let unreachable_since = self.ready.unreachable_since;
         let was_ready = self.ready.ready;
         let isolated = contacts.is_isolated() || !self.has_store_contact();
-        let limit = if isolated { ISOLATED_TIME } else { CUT_OFF_TIME };
-        let kept = was_ready && cut_off.is_some_and(|since| now < since + limit);
-        let ready = clusters > 0 && self.drain.since.is_none() && (cut_off.is_none() || kept);
+        let limit = if isolated { ISOLATED_GRACE } else { UNREACHABLE_GRACE };
+        let kept = was_ready && unreachable_since.is_some_and(|since| now < since + limit);
+        let ready =
+            clusters > 0 && self.drain.since.is_none() && (unreachable_since.is_none() || kept);
         if ready != was_ready || !self.ready.announced {
             self.ready.ready = ready;
             self.ready.announced = true;
-            self.ready.unready = (!ready).then_some(now);
+            self.ready.unready_since = (!ready).then_some(now);
             self.out.push(GateAction::SetReady(ready));
             self.log(
                 "ready",
@@ -66,8 +67,9 @@
                 ],
             );
         }
-        let long = self.ready.unready.is_some_and(|since| now >= since + CLOSE_AFTER);
-        if cut_off.is_some() && long && clusters > 0 {
+        let long =
+            self.ready.unready_since.is_some_and(|since| now >= since + CLOSE_SESSIONS_DELAY);
+        if unreachable_since.is_some() && long && clusters > 0 {
             self.close_idle_sessions();
         }
     }
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -51,7 +51,7 @@
         let now = self.now;
         let Some((listed, others)) = self.registration.listed else { return };
         let settled = others || self.fleet.is_known() || now >= listed + STARTUP_GRACE;
-        let owns = self.table.clusters.keys().any(|cluster| self.owns_links(cluster));
+        let owns = self.table.clusters.keys().any(|cluster| self.owns_connections(cluster));
         let warm = self.registration.role == NodeRole::Owner || self.is_warmed_up();
         let role = match self.registration.role {
             // What is in flight still needs the permit.
@@ -76,7 +76,7 @@
 
     /// Tells whether this node can serve most clusters that it owns connections of, or has tried for long.
     fn is_warmed_up(&mut self) -> bool {
-        let owned = self.table.clusters.keys().filter(|cluster| self.owns_links(cluster));
+        let owned = self.table.clusters.keys().filter(|cluster| self.owns_connections(cluster));
         let (mut count, mut usable) = (0, 0);
         for cluster in owned {
             count += 1;
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -36,8 +36,8 @@
 
 /// Expected time in percent that a detour from the preferred replica, or to the leader, counts as. The leader is
 /// kept free for what only it can do.
-const DETOUR_PERCENT: u64 = 150;
-const LEADER_PERCENT: u64 = 250;
+const REPLICA_DETOUR_PERCENT: u64 = 150;
+const LEADER_DETOUR_PERCENT: u64 = 250;
 
 /// What a request is within its session.
 #[derive(Clone, Debug)]
@@ -82,7 +82,7 @@
     pub(crate) deadline: Micros,
     pub(crate) stage: RequestStage,
     pub(crate) database: Option<Name>,
-    pub(crate) link: Option<LinkId>,
+    pub(crate) connection: Option<LinkId>,
     pub(crate) after: Option<LogPoint>,
     /// The leader must be proved for this time.
     pub(crate) need: Option<Micros>,
@@ -134,7 +134,7 @@
             route,
             stage: RequestStage::Queued,
             database: None,
-            link: None,
+            connection: None,
             after: None,
             need: None,
             sent: None,
@@ -157,7 +157,7 @@
         if let Some(peer) = self.choose_owner(id) {
             return self.queue_at(id, peer, self.required_position(id), None);
         }
-        if !self.owns_links(&route.cluster) {
+        if !self.owns_connections(&route.cluster) {
             return self.wait_for_owner(id);
         }
         let Some(cluster) = self.clusters.get(&route.cluster) else {
@@ -182,7 +182,8 @@
             }
             return self.wait_for_leader(id);
         };
-        if self.databases.get(&leader).is_some_and(|database| database.is_closed(self.now)) {
+        if self.databases.get(&leader).is_some_and(|database| database.has_no_connection(self.now))
+        {
             if let Some(peer) = self.choose_peer(id) {
                 return self.queue_at(id, peer, self.required_position(id), None);
             }
@@ -253,7 +254,7 @@
         state.members.iter().any(|name| {
             Some(name) != leader
                 && self.databases.get(name).is_some_and(|database| {
-                    database.is_usable(self.now) && !database.is_closed(self.now)
+                    database.is_usable(self.now) && !database.has_no_connection(self.now)
                 })
         })
     }
@@ -288,11 +289,11 @@
                 || database.listed.leaving
                 || request.excluded.contains(name)
                 || database.lacks(self.now, after)
-                || database.is_closed(self.now)
+                || database.has_no_connection(self.now)
             {
                 continue;
             }
-            let percent = if Some(name) == preferred { 100 } else { DETOUR_PERCENT };
+            let percent = if Some(name) == preferred { 100 } else { REPLICA_DETOUR_PERCENT };
             let rank = (database.expected_time(self.now).0 * percent, name.clone());
             if best.as_ref().is_none_or(|best| rank < *best) {
                 best = Some(rank);
@@ -301,7 +302,7 @@
         let (time, name) = best?;
         if let Some(leader) = self.usable_leader(cluster)
             && let Some(database) = self.databases.get(&leader)
-            && time > database.expected_time(self.now).0 * LEADER_PERCENT
+            && time > database.expected_time(self.now).0 * LEADER_DETOUR_PERCENT
         {
             return None;
         }
@@ -367,7 +368,7 @@
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
         let closed = !state.members.is_empty()
             && state.members.iter().all(|name| {
-                self.databases.get(name).is_some_and(|database| database.is_closed(now))
+                self.databases.get(name).is_some_and(|database| database.has_no_connection(now))
             });
         if closed {
             let text = "not run, no connection to the databases is free, retry after 150 ms";
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -38,7 +38,7 @@
 /// A transaction that is open at a database.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenTransaction {
-    pub(crate) link: LinkId,
+    pub(crate) connection: LinkId,
     pub(crate) route: Arc<RouteConfig>,
     pub(crate) wrote: bool,
     /// When the last statement ended.
@@ -119,22 +119,22 @@
             self.abandon_request(request);
         }
         if let Transaction::Open(open) = session.transaction {
-            self.release_pin(open.link, id);
+            self.release_transaction(open.connection, id);
         }
     }
 
     /// Rolls back what is open on a pinned connection and gives it back. One with a statement in flight
     /// is closed, which rolls back too.
-    pub(crate) fn release_pin(&mut self, link: LinkId, session: SessionId) {
-        let Some(state) = self.links.get_mut(&link) else { return };
-        if state.pinned != Some(session) {
+    pub(crate) fn release_transaction(&mut self, connection: LinkId, session: SessionId) {
+        let Some(state) = self.connections.get_mut(&connection) else { return };
+        if state.transaction_session != Some(session) {
             return;
         }
-        state.pinned = None;
+        state.transaction_session = None;
         if state.pending.is_empty() {
-            self.send(link, vec![BackendCommand::Rollback], CommandPurpose::Rollback);
+            self.send(connection, vec![BackendCommand::Rollback], CommandPurpose::Rollback);
         } else {
-            self.drop_link(link, "transaction abandoned");
+            self.close_connection(connection, "transaction abandoned");
         }
     }
 
@@ -215,7 +215,7 @@
     fn roll_back(&mut self, id: SessionId) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         match std::mem::replace(&mut session.transaction, Transaction::None) {
-            Transaction::Open(open) => self.release_pin(open.link, id),
+            Transaction::Open(open) => self.release_transaction(open.connection, id),
             Transaction::None | Transaction::Pending { .. } | Transaction::Failed => {}
         }
         self.reply_done(id);
@@ -300,11 +300,11 @@
     pub(crate) fn abort_transaction(&mut self, id: SessionId, reason: &'static str) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Transaction::Open(open) = &session.transaction else { return };
-        let link = open.link;
+        let connection = open.connection;
         session.transaction = Transaction::Failed;
         self.count("transactions_aborted");
         self.log("transaction_aborted", fields!["session" => id.0, "reason" => reason]);
-        self.release_pin(link, id);
+        self.release_transaction(connection, id);
     }
 
     /// Closes the sessions that are between requests and outside transactions.
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -43,7 +43,7 @@
     /// Returns why a cluster's primary should be replaced, as far as this node can tell alone.
     pub(crate) fn suspicion_reason(&mut self, cluster: &Name) -> Option<&'static str> {
         let now = self.now;
-        if !self.owns_links(cluster) {
+        if !self.owns_connections(cluster) {
             return None;
         }
         let state = self.clusters.get(cluster)?;
@@ -70,7 +70,7 @@
         };
         self.failovers.no_primary_since.remove(cluster);
         let Some(database) = self.databases.get(&leader) else { return Some("primary gone") };
-        if database.silent_since().is_some_and(|since| now >= since + PRIMARY_SILENCE_TIMEOUT) {
+        if database.unanswered_since().is_some_and(|since| now >= since + PRIMARY_SILENCE_TIMEOUT) {
             return Some("primary silent");
         }
         if state.commit_overdue.is_some_and(|since| now >= since + COMMIT_STALL_TIMEOUT) {
@@ -92,7 +92,7 @@
             })
         };
         if !quiet(leader)
-            || !self.owns_links(cluster)
+            || !self.owns_connections(cluster)
             || self.registry.suspecting_nodes(cluster).is_empty()
         {
             return;
@@ -168,9 +168,9 @@
         }
         let only_lifts_fences = self.has_stale_fences(cluster) && suspicion_reason.is_none();
         let (reason, place) = if only_lifts_fences {
-            ("fences left", self.owner_place(cluster))
+            ("fences left", self.owner_position(cluster))
         } else if self.can_replace_leaving_primary(cluster) {
-            ("primary leaving", self.owner_place(cluster))
+            ("primary leaving", self.owner_position(cluster))
         } else if let Some(reason) = suspicion_reason {
             let nodes = self.registry.suspecting_nodes(cluster);
             let needed = (self.owner_count(cluster) / SUSPICION_QUORUM_DIVISOR + 1) as usize;
