--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -141,7 +141,7 @@
             self.databases[&name].listed.claimed_role == Some(DatabaseRole::Primary);
         let holds = self.owns_connections(&cluster);
         if holds && claims_primary && (role_changed || known.is_none()) {
-            self.ask_report(&name);
+            self.request_report(&name);
         }
         self.open_connections(&name);
     }
@@ -208,10 +208,10 @@
             if Some(&name) == leader.as_ref() || database.unlisted.is_some() {
                 continue;
             }
-            if database.report_asked >= Some(need) && database.is_responsive(self.now) {
+            if database.report_requested_at >= Some(need) && database.is_responsive(self.now) {
                 return;
             }
-            if database.report_asked.is_some() || database.listed.leaving {
+            if database.report_requested_at.is_some() || database.listed.leaving {
                 continue;
             }
             let far = database.listed.data_centre != *own;
@@ -222,29 +222,29 @@
             }
         }
         if let Some((_, _, _, name)) = best {
-            self.ask_report(&name);
+            self.request_report(&name);
         }
     }
 
     /// Asks a database for a report as soon as a connection is free.
-    pub(crate) fn ask_report(&mut self, name: &Name) {
+    pub(crate) fn request_report(&mut self, name: &Name) {
         let Some(database) = self.databases.get_mut(name) else { return };
         database.report_wanted = true;
         self.send_wanted_report(name);
     }
 
     /// Asks every database of a cluster.
-    pub(crate) fn ask_all(&mut self, cluster: &Name) {
+    pub(crate) fn request_all_reports(&mut self, cluster: &Name) {
         let Some(state) = self.clusters.get(cluster) else { return };
         for name in state.members.clone() {
-            self.ask_report(&name);
+            self.request_report(&name);
         }
     }
 
     pub(crate) fn send_wanted_report(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get_mut(name) else { return };
-        if !database.report_wanted || database.report_asked.is_some() {
+        if !database.report_wanted || database.report_requested_at.is_some() {
             return;
         }
         let Some(connection) = database.idle.pop() else {
@@ -252,7 +252,7 @@
             return;
         };
         database.report_wanted = false;
-        database.report_asked = Some(now);
+        database.report_requested_at = Some(now);
         self.count("reports_asked");
         self.send(connection, vec![BackendCommand::Report], CommandPurpose::Report);
     }
@@ -267,8 +267,8 @@
         let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let Some(database) = self.databases.get_mut(&name) else { return };
-        if database.report_asked == Some(asked) {
-            database.report_asked = None;
+        if database.report_requested_at == Some(asked) {
+            database.report_requested_at = None;
         }
         let Some(report) = answer.report else {
             // Busy; another replica may answer, or this one later.
@@ -303,7 +303,7 @@
                 ],
             );
             if leader.is_none() {
-                self.ask_all(&cluster);
+                self.request_all_reports(&cluster);
             }
         }
         self.wake_waiting_for_proof(&cluster);
@@ -391,7 +391,7 @@
             if holds && (unknown || doubtful) {
                 let interval = if unknown { SEARCH_INTERVAL } else { UNRESPONSIVE_LEADER_INTERVAL };
                 state.next_search = now + interval;
-                return self.ask_all(cluster);
+                return self.request_all_reports(cluster);
             }
             // The first search waits one interval for what a listed primary reports.
             state.next_search = now + SEARCH_INTERVAL;
@@ -407,8 +407,8 @@
         for name in state.members.clone() {
             let Some(database) = self.databases.get(&name) else { continue };
             let silent = !database.is_responsive(self.now) && database.overdue_since.is_some();
-            if silent && database.report_asked.is_none() && database.unlisted.is_none() {
-                self.ask_report(&name);
+            if silent && database.report_requested_at.is_none() && database.unlisted.is_none() {
+                self.request_report(&name);
             }
         }
     }
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -218,9 +218,9 @@
                 CommandPurpose::Begin(_) | CommandPurpose::Run(_) => {}
                 CommandPurpose::Report | CommandPurpose::Fence => {
                     if let Some(database) = self.databases.get_mut(&state.database)
-                        && database.report_asked == Some(pending.sent)
+                        && database.report_requested_at == Some(pending.sent)
                     {
-                        database.report_asked = None;
+                        database.report_requested_at = None;
                     }
                 }
                 CommandPurpose::Setup
@@ -346,12 +346,12 @@
             return;
         }
         if state.close_when_idle {
-            return self.close_connection(connection, "state in doubt");
+            return self.close_connection(connection, "connection state unknown");
         }
         let name = state.database.clone();
         let spent = state.needs_reset();
         if spent && self.databases.get(&name).is_some_and(|database| database.peer.is_some()) {
-            return self.close_connection(connection, "bound to one session");
+            return self.close_connection(connection, "session state cannot be reset");
         }
         let Some(database) = self.databases.get_mut(&name) else { return };
         if !database.idle.contains(&connection) {
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -123,7 +123,7 @@
     pub(crate) retry_open: Micros,
     pub(crate) open_failures: u32,
     /// When the report in flight was asked for.
-    pub(crate) report_asked: Option<Micros>,
+    pub(crate) report_requested_at: Option<Micros>,
     pub(crate) report_wanted: bool,
 }
 
@@ -152,7 +152,7 @@
             latency: LatencyEstimate::default(),
             retry_open: Micros::ZERO,
             open_failures: 0,
-            report_asked: None,
+            report_requested_at: None,
             report_wanted: false,
         }
     }
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -1,22 +1,27 @@
-//! Changes of primary.
+//! Failovers: unplanned changes of a cluster's primary, and the replacement of a leaving one.
 //!
-//! 1. Claim the duty, so that one node acts and its number is the highest. The claim announces the change.
+//! 1. Claim the promotion lease, so that only one node acts and its fencing token is the highest.
+//!    The claim announces the failover.
 //! 2. Read the current list of databases from the store.
-//! 3. Ask every replica of the cluster for a report, and give up if one does not answer: fences on the others
-//!    would only keep the primary from committing.
-//! 4. Fence every replica, leaving ones included. From the last fence on, the old primary can
+//! 3. Request a report from every replica of the cluster, and abort if one does not answer: fences
+//!    on the others would only keep the primary from committing.
+//! 4. Fence every replica, leaving ones included. After the last fence the old primary can
 //!    acknowledge no commit, because no replica receives it.
-//! 5. Read the lists again; fence replicas that are new. Wait until every registered node has acknowledged the
-//!    announcement or can hold no read permit any more.
-//! 6. Read the lists once more, since a new replica may receive commits shortly before it is listed.
-//! 7. Demote the old primary if it can be reached. A promotion takes effect some time after the call, and a
-//!    replica that starts meanwhile could let the old primary acknowledge more commits.
-//! 8. Promote the replica with the longest log. What any acknowledged commit needs is in it, because every
-//!    such commit is at one fenced replica at least.
-//! 9. Wait until it reports to lead, and demote the old primary if it could not be reached before.
+//! 5. Read the lists again and fence new replicas. Wait until every registered node has
+//!    acknowledged the announcement or can no longer hold a read lease.
+//! 6. Read the lists once more, because a new replica may receive commits shortly before it is
+//!    listed.
+//! 7. Demote the old primary if it can be reached. A promotion takes effect some time after the
+//!    call, and a replica that starts in the meantime could let the old primary acknowledge more
+//!    commits.
+//! 8. Promote the replica with the longest log. It contains every acknowledged commit, because each
+//!    is at one fenced replica at least.
+//! 9. Wait until the new primary reports its role, and demote the old primary if it could not be
+//!    reached before.
 //!
-//! A replica that cannot be fenced may hold the only copy of a commit and may go on acknowledging. The change
-//! waits for it until its entry is gone, and is given up with the fences lifted if that takes too long.
+//! A replica that cannot be fenced may hold the only copy of a commit and may go on acknowledging.
+//! The failover waits until its entry is gone. If that takes too long, the failover is aborted and
+//! its fences are lifted.
 
 use model::{FastMap, Micros, Name, Term};
 
@@ -28,30 +33,31 @@
 use crate::registry::NodeRecord;
 use crate::{Gate, fields};
 
-/// Time after which a change is given up.
+/// Time after which a failover is aborted.
 const FAILOVER_TIMEOUT: Micros = Micros::from_millis(6_000);
 
-/// The same while the primary still answers and may be able to commit once the fences are lifted.
+/// Limit of a failover whose old primary still answers and may be able to commit once the fences
+/// are lifted.
 const RESPONSIVE_PRIMARY_TIMEOUT: Micros = Micros::from_millis(1_500);
 
-/// Time between the first commit that a new replica receives and its entry in the list, with a margin: 22 ms
-/// were seen on the users' bench.
+/// Upper bound of the time between the first commit that a new replica receives and its entry in
+/// the list, which is about 22 ms.
 const LISTING_DELAY: Micros = Micros::from_millis(100);
 
-/// Time for the answer to a demotion before the change goes on without it.
+/// Time to wait for the answer to a demotion before the failover goes on without it.
 const DEMOTE_TIMEOUT: Micros = Micros::from_millis(250);
 
-/// Pause between fences to the same replica, and between promotion calls.
+/// Interval between fence commands to the same replica, and between promotion calls.
 pub(crate) const STEP_RETRY_INTERVAL: Micros = Micros::from_millis(250);
 
-/// Pause before this node tries the same cluster again after it gave up.
+/// Time before this node retries a failover of the same cluster after it aborted one.
 const FAILOVER_BACKOFF: Micros = Micros::from_millis(1_500);
 
-/// Time that nodes get to acknowledge an announcement before their leases are ended: a watch's event and a
-/// write, each within 10 ms when the store is well.
+/// Time that nodes get to acknowledge an announcement before their leases are ended: one watch
+/// event and one write, each of which takes up to 10 ms while the store is healthy.
 const ACKNOWLEDGE_TIMEOUT: Micros = Micros::from_millis(60);
 
-/// Where a change of primary stands.
+/// Progress of a failover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailoverStage {
     Claiming,
@@ -61,26 +67,30 @@
     Fencing,
     Relisting,
     /// Waits for acknowledgements of the announcement.
-    Waiting,
-    /// Reads the list for the last time.
-    Confirming,
+    AwaitingAcknowledgements,
+    /// Reads the lists for the last time.
+    FinalListing,
     /// Waits until the old primary is a replica.
     Demoting,
     Promoting,
-    /// The call was accepted; the new primary has not reported yet.
-    Opening,
+    /// The promotion was accepted; the new primary has not reported yet.
+    AwaitingNewPrimary,
 }
 
 impl FailoverStage {
-    /// Tells whether the old primary may be demoted already, so that there is no way back.
-    pub(crate) const fn is_decided(self) -> bool {
-        matches!(self, FailoverStage::Demoting | FailoverStage::Promoting | FailoverStage::Opening)
+    /// Returns true if the old primary may already be demoted, so that the failover cannot be
+    /// undone.
+    pub(crate) const fn is_irreversible(self) -> bool {
+        matches!(
+            self,
+            FailoverStage::Demoting | FailoverStage::Promoting | FailoverStage::AwaitingNewPrimary
+        )
     }
 
     pub(crate) const fn reads_lists(self) -> bool {
         matches!(
             self,
-            FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::Confirming
+            FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::FinalListing
         )
     }
 
@@ -91,20 +101,20 @@
             FailoverStage::Probing => "probing",
             FailoverStage::Fencing => "fencing",
             FailoverStage::Relisting => "relisting",
-            FailoverStage::Waiting => "waiting",
-            FailoverStage::Confirming => "confirming",
+            FailoverStage::AwaitingAcknowledgements => "waiting",
+            FailoverStage::FinalListing => "confirming",
             FailoverStage::Demoting => "demoting",
             FailoverStage::Promoting => "promoting",
-            FailoverStage::Opening => "opening",
+            FailoverStage::AwaitingNewPrimary => "opening",
         }
     }
 }
 
-/// One change of primary that this node carries out.
+/// A failover that this node carries out.
 #[derive(Debug)]
 pub(crate) struct ClusterFailover {
     pub(crate) stage: FailoverStage,
-    pub(crate) old: Option<Name>,
+    pub(crate) old_primary: Option<Name>,
     pub(crate) term: Term,
     pub(crate) started: Micros,
     /// When the last step that needs an answer was taken.
@@ -112,46 +122,47 @@
     pub(crate) in_flight: bool,
     pub(crate) replicas: Vec<Name>,
     pub(crate) fenced: FastMap<Name, DatabaseReport>,
-    pub(crate) asked: FastMap<Name, Micros>,
-    pub(crate) chosen: Option<Name>,
-    /// The replica list is as the store had it after the last fence.
+    pub(crate) fence_sent: FastMap<Name, Micros>,
+    pub(crate) new_primary: Option<Name>,
+    /// `replicas` was read from the store after the last fence.
     pub(crate) relisted: bool,
-    /// Only lifts fences that another node left behind.
+    /// Only lifts fences that another node left behind; no primary is replaced.
     pub(crate) only_lifts_fences: bool,
     /// Revision of the announcement.
     pub(crate) announced: u64,
-    /// Nodes whose acknowledgement is missing, and the leases that their permits depend on.
+    /// Nodes that have not acknowledged the announcement, and the state of the leases that their
+    /// read leases depend on.
     pub(crate) unacknowledged: FastMap<Name, LeaseRevocation>,
-    /// No permit older than the announcement can hold after this.
+    /// No read lease from before the announcement can be valid after this time.
     pub(crate) read_leases_expired_at: Micros,
 }
 
-/// How far the end of a node's lease has got.
+/// Progress in ending another node's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseRevocation {
-    /// To be ended, or asked again.
+    /// The lease still has to be ended; `asked` is when that was last requested.
     Held { lease: u64, asked: Option<Micros> },
-    /// Ended; the node's permit runs out.
+    /// The lease has ended; the node's read lease runs out.
     Ended,
 }
 
-/// Changes of primary and what leads to them.
+/// Running failovers and the conditions that lead to them, by cluster.
 #[derive(Debug, Default)]
 pub(crate) struct FailoverState {
     pub(crate) running: FastMap<Name, ClusterFailover>,
-    /// Since when the conditions for a change hold, by cluster.
+    /// Since when the conditions for a failover hold.
     pub(crate) due_since: FastMap<Name, Micros>,
-    /// Clusters that this node leaves alone until then.
+    /// Time before which this node starts no failover of the cluster.
     pub(crate) backoff_until: FastMap<Name, Micros>,
     pub(crate) no_primary_since: FastMap<Name, Micros>,
-    /// Since when no replica holds the log that is known to exist.
+    /// Since when no fenced replica holds the log that is known to exist.
     pub(crate) missing_log_since: FastMap<Name, Micros>,
-    /// Clusters that this node complains about, and why.
+    /// Clusters whose primary this node suspects, and why.
     pub(crate) suspected: FastMap<Name, &'static str>,
 }
 
 impl Gate {
-    /// Renews the duty while changes run, and gives it up after the last.
+    /// Renews the promotion lease while failovers run, and releases it after the last one.
     pub(crate) fn maintain_promotion_lease(&mut self) {
         let now = self.now;
         let (_, record) = self.promotion_lease.record();
@@ -164,7 +175,8 @@
                 && self.promotion_lease.fencing_token(now).is_none()
                 && self.has_stable_contact()
             {
-                // The announcement of a holder that died is cleared by claiming and releasing.
+                // The announcement of a failed holder is cleared by claiming the lease and
+                // releasing it.
                 self.promotion_lease.claim(now, Vec::new())
             } else {
                 self.promotion_lease.release(now)
@@ -184,7 +196,7 @@
         }
     }
 
-    /// Tells whether a change runs that the stored record does not announce.
+    /// Returns true if the stored record does not announce every running failover.
     fn announcement_missing(&self) -> bool {
         self.failovers
             .running
@@ -196,23 +208,23 @@
         let now = self.now;
         let Some(failover) = self.failovers.running.get(cluster) else { return };
         let (stage, in_flight) = (failover.stage, failover.in_flight);
-        let repeat = now >= failover.last_step + STEP_RETRY_INTERVAL;
-        let limit = if self.old_primary_responds(cluster) && !stage.is_decided() {
+        let may_retry = now >= failover.last_step + STEP_RETRY_INTERVAL;
+        let limit = if self.old_primary_responds(cluster) && !stage.is_irreversible() {
             RESPONSIVE_PRIMARY_TIMEOUT
         } else {
             FAILOVER_TIMEOUT
         };
-        let calling = in_flight && stage == FailoverStage::Promoting;
-        if now >= failover.started + limit && !calling {
-            return self.abort_failover(cluster, "takes too long");
+        let promote_in_flight = in_flight && stage == FailoverStage::Promoting;
+        if now >= failover.started + limit && !promote_in_flight {
+            return self.abort_failover(cluster, "failover timed out");
         }
         if self.has_new_primary(cluster) {
             return self.complete_failover(cluster);
         }
         if self.promotion_lease.fencing_token(now).is_none() && stage != FailoverStage::Claiming {
-            // The claim is renewed by `maintain_promotion_lease`; nothing is done without it.
+            // `maintain_promotion_lease` renews the claim; nothing is done without it.
             if self.promotion_lease.is_held_elsewhere(now) {
-                self.abort_failover(cluster, "another node holds the duty");
+                self.abort_failover(cluster, "another node holds the promotion lease");
             }
             return;
         }
@@ -226,11 +238,11 @@
                 self.step_failover(cluster);
             }
             FailoverStage::Claiming if self.promotion_lease.is_held_elsewhere(now) => {
-                self.abort_failover(cluster, "another node holds the duty");
+                self.abort_failover(cluster, "another node holds the promotion lease");
             }
             FailoverStage::Claiming => {}
-            FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::Confirming => {
-                if !in_flight || repeat {
+            FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::FinalListing => {
+                if !in_flight || may_retry {
                     self.record_step(cluster);
                     self.out.push(GateAction::ReadState);
                 }
@@ -242,31 +254,32 @@
             }
             FailoverStage::Probing => self.probe_replicas(cluster),
             FailoverStage::Fencing => self.fence_replicas(cluster),
-            FailoverStage::Waiting => self.wait_for_acknowledgements(cluster),
+            FailoverStage::AwaitingAcknowledgements => self.wait_for_acknowledgements(cluster),
             FailoverStage::Promoting => {
-                if !in_flight && repeat {
+                if !in_flight && may_retry {
                     self.send_promote(cluster);
                 }
             }
-            FailoverStage::Opening => {
-                if repeat && let Some(chosen) = self.chosen(cluster) {
+            FailoverStage::AwaitingNewPrimary => {
+                if may_retry && let Some(new_primary) = self.new_primary(cluster) {
                     self.record_step(cluster);
-                    self.ask_report(&chosen);
+                    self.request_report(&new_primary);
                 }
             }
         }
     }
 
-    /// Tells whether the primary to be replaced still answers, so that giving up is better than fences that
-    /// keep it from committing.
+    /// Returns true if the primary to be replaced still answers. Aborting is then better than
+    /// fences that keep it from committing.
     pub(crate) fn old_primary_responds(&self, cluster: &Name) -> bool {
-        let old = self.failovers.running.get(cluster).and_then(|failover| failover.old.as_ref());
+        let old =
+            self.failovers.running.get(cluster).and_then(|failover| failover.old_primary.as_ref());
         old.and_then(|old| self.databases.get(old))
             .is_some_and(|database| !database.listed.leaving && database.is_responsive(self.now))
     }
 
-    fn chosen(&self, cluster: &Name) -> Option<Name> {
-        self.failovers.running.get(cluster)?.chosen.clone()
+    fn new_primary(&self, cluster: &Name) -> Option<Name> {
+        self.failovers.running.get(cluster)?.new_primary.clone()
     }
 
     pub(crate) fn set_stage(&mut self, cluster: &Name, stage: FailoverStage) {
@@ -287,7 +300,7 @@
         }
     }
 
-    /// Tells whether a primary of a newer term reports, whoever made it one.
+    /// Returns true if a primary of a newer term reports, regardless of which node promoted it.
     fn has_new_primary(&self, cluster: &Name) -> bool {
         let (Some(failover), Some(state)) =
             (self.failovers.running.get(cluster), self.clusters.get(cluster))
@@ -296,11 +309,11 @@
         };
         let proof = &state.proof;
         proof.leader().is_some()
-            && proof.leader() != failover.old.as_ref()
+            && proof.leader() != failover.old_primary.as_ref()
             && proof.term() >= failover.term
     }
 
-    /// Takes in the state that the store had when it was asked.
+    /// Processes the state of the store; `None` means that the store did not answer.
     pub(crate) fn state_read(&mut self, state: Option<StoreState>) {
         let clusters: Vec<Name> = self.failovers.running.keys().cloned().collect();
         let Some(StoreState { databases, documents }) = state else {
@@ -325,13 +338,13 @@
                 .iter()
                 .filter(|listed| listed.cluster == cluster)
                 .map(|listed| listed.id.clone())
-                .filter(|name| Some(name) != failover.old.as_ref())
+                .filter(|name| Some(name) != failover.old_primary.as_ref())
                 .collect();
-            // An entry may lapse while its database lives and holds the only copy of a commit. Such a one has
-            // to be fenced until it is given up.
+            // An entry may expire while its database is alive and holds the only copy of a commit.
+            // Such a database must be fenced until it is removed.
             if let Some(state) = self.clusters.get(&cluster) {
                 let known = state.members.iter().filter(|name| {
-                    Some(*name) != failover.old.as_ref() && !replicas.contains(name)
+                    Some(*name) != failover.old_primary.as_ref() && !replicas.contains(name)
                 });
                 let known: Vec<Name> = known.cloned().collect();
                 replicas.extend(known);
@@ -352,8 +365,8 @@
             let fenced = failover.replicas.iter().all(|name| failover.fenced.contains_key(name));
             match stage {
                 FailoverStage::Listing => self.set_stage(&cluster, FailoverStage::Probing),
-                FailoverStage::Confirming if fenced => {
-                    self.demote_old(&cluster);
+                FailoverStage::FinalListing if fenced => {
+                    self.demote_old_primary(&cluster);
                     continue;
                 }
                 _ => self.set_stage(&cluster, FailoverStage::Fencing),
@@ -362,17 +375,17 @@
         }
     }
 
-    /// Waits until no node can rely on a permit from before the announcement.
+    /// Waits until no node can rely on a read lease from before the announcement.
     fn wait_for_acknowledgements(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(failover) = self.failovers.running.get_mut(cluster) else { return };
         let (announced, registry) = (failover.announced, &self.registry);
-        failover.unacknowledged.retain(|node, wait| {
-            *wait == LeaseRevocation::Ended || !registry.has_acknowledged(node, announced)
+        failover.unacknowledged.retain(|node, revocation| {
+            *revocation == LeaseRevocation::Ended || !registry.has_acknowledged(node, announced)
         });
         let mut ends = Vec::new();
-        for (node, wait) in &mut failover.unacknowledged {
-            if let LeaseRevocation::Held { lease, asked } = wait
+        for (node, revocation) in &mut failover.unacknowledged {
+            if let LeaseRevocation::Held { lease, asked } = revocation
                 && now >= failover.last_step + ACKNOWLEDGE_TIMEOUT
                 && asked.is_none_or(|at| now >= at + STEP_RETRY_INTERVAL)
             {
@@ -380,37 +393,40 @@
                 ends.push(GateAction::EndLease { node: node.clone(), lease: *lease });
             }
         }
-        let all_ended =
-            failover.unacknowledged.values().all(|wait| *wait == LeaseRevocation::Ended);
+        let all_ended = failover
+            .unacknowledged
+            .values()
+            .all(|revocation| *revocation == LeaseRevocation::Ended);
         if all_ended
             && now >= failover.read_leases_expired_at.max(failover.last_step + LISTING_DELAY)
         {
-            return self.set_stage(cluster, FailoverStage::Confirming);
+            return self.set_stage(cluster, FailoverStage::FinalListing);
         }
         self.out.append(&mut ends);
     }
 
-    /// Another node's lease has ended; its permit runs out within [`READ_LEASE_TTL`].
+    /// Records that another node's lease has ended; its read lease runs out within
+    /// [`READ_LEASE_TTL`].
     pub(crate) fn lease_ended(&mut self, node: &Name, ended: bool) {
         let now = self.now;
         self.log("lease_ended", fields!["node" => node, "ended" => ended]);
         for failover in self.failovers.running.values_mut() {
-            if ended && let Some(wait) = failover.unacknowledged.get_mut(node) {
-                *wait = LeaseRevocation::Ended;
+            if ended && let Some(revocation) = failover.unacknowledged.get_mut(node) {
+                *revocation = LeaseRevocation::Ended;
                 failover.read_leases_expired_at =
                     failover.read_leases_expired_at.max(now + READ_LEASE_TTL);
             }
         }
     }
 
-    /// Names the new primary.
+    /// Chooses the new primary and promotes it.
     pub(crate) fn choose_new_primary(&mut self, cluster: &Name) {
         let best = self.longest_fenced_log(cluster);
         let Some((name, position)) = best else {
             return self.abort_failover(cluster, "no replica is fenced");
         };
         if let Some(failover) = self.failovers.running.get_mut(cluster) {
-            failover.chosen = Some(name.clone());
+            failover.new_primary = Some(name.clone());
         }
         self.log(
             "takeover_chosen",
@@ -427,7 +443,7 @@
     fn send_promote(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(token) = self.promotion_lease.fencing_token(now) else { return };
-        let Some(database) = self.chosen(cluster) else { return };
+        let Some(database) = self.new_primary(cluster) else { return };
         self.record_step(cluster);
         self.log(
             "promote_sent",
@@ -451,7 +467,7 @@
         let Some(failover) = self.failovers.running.get_mut(cluster) else { return };
         failover.in_flight = false;
         match result {
-            PromoteResult::Accepted => self.set_stage(cluster, FailoverStage::Opening),
+            PromoteResult::Accepted => self.set_stage(cluster, FailoverStage::AwaitingNewPrimary),
             PromoteResult::Failed => {}
             PromoteResult::Rejected => {
                 failover.fenced.clear();
@@ -478,7 +494,7 @@
         );
         self.failovers.due_since.remove(cluster);
         self.failovers.missing_log_since.remove(cluster);
-        if let Some(old) = failover.old
+        if let Some(old) = failover.old_primary
             && let Some(connection) = self.control_connection(&old)
         {
             self.send(connection, vec![BackendCommand::Demote { term }], CommandPurpose::Control);
@@ -495,7 +511,7 @@
         );
         self.failovers.due_since.remove(cluster);
         self.failovers.backoff_until.insert(cluster.clone(), now + FAILOVER_BACKOFF);
-        if failover.stage.is_decided() {
+        if failover.stage.is_irreversible() {
             return;
         }
         for name in failover.fenced.keys() {
@@ -504,7 +520,7 @@
     }
 }
 
-/// Returns the nodes that are registered and have not acknowledged an announcement.
+/// Returns the registered nodes that have not acknowledged an announcement.
 fn unacknowledged_nodes(
     documents: &[StoredDocument],
     own: &Name,
@@ -513,11 +529,11 @@
     let mut missing = FastMap::default();
     for stored in documents {
         let Document::Node(NodeRole::Owner, node) = &stored.document else { continue };
-        // One that cannot be read has acknowledged nothing.
+        // A node whose record cannot be read counts as one that has acknowledged nothing.
         let record: NodeRecord = serde_json::from_slice(&stored.bytes).unwrap_or_default();
         if node != own && record.acknowledged < announced {
-            let wait = LeaseRevocation::Held { lease: stored.lease, asked: None };
-            missing.insert(node.clone(), wait);
+            let revocation = LeaseRevocation::Held { lease: stored.lease, asked: None };
+            missing.insert(node.clone(), revocation);
         }
     }
     missing
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -1,4 +1,4 @@
-//! Fences of a change of primary, and the comparison of the fenced logs.
+//! Fences of a failover, and the comparison of the fenced logs.
 
 use model::{DatabaseRole, Micros, Name};
 
@@ -8,21 +8,22 @@
 use crate::failover::{FailoverStage, STEP_RETRY_INTERVAL};
 use crate::{Gate, fields};
 
-/// Time that a change waits for a database with the known log to come back. Crashed databases return with
-/// their log; one that stays away longer is given up with what it held.
+/// Time that a failover waits for a database with the known log to return. Crashed databases return
+/// with their log; one that stays away longer is given up together with what only it held.
 const MISSING_LOG_TIMEOUT: Micros = Micros::from_millis(9_000);
 
-/// Time that replicas get to report before they are fenced: an opened connection and a queue.
+/// Time that replicas get to report before they are fenced: opening a connection and waiting in a
+/// queue.
 const PROBE_TIMEOUT: Micros = Micros::from_millis(500);
 
 impl Gate {
-    /// Demotes the old primary before its successor is named, if it answers.
-    pub(crate) fn demote_old(&mut self, cluster: &Name) {
+    /// Demotes the old primary, if it answers, before the new one is chosen.
+    pub(crate) fn demote_old_primary(&mut self, cluster: &Name) {
         if self.waits_for_missing_log(cluster) {
             return self.abort_failover(cluster, "no replica holds the known log");
         }
         let Some(failover) = self.failovers.running.get(cluster) else { return };
-        let (old, term) = (failover.old.clone(), failover.term);
+        let (old, term) = (failover.old_primary.clone(), failover.term);
         let answers = old
             .as_ref()
             .and_then(|old| self.databases.get(old))
@@ -33,7 +34,7 @@
         self.send(connection, vec![BackendCommand::Demote { term }], CommandPurpose::Demote);
     }
 
-    /// Takes in the report that answers a demotion.
+    /// Processes the report that answers a demotion.
     pub(crate) fn demote_answered(&mut self, connection: LinkId, answer: &BackendAnswer) {
         let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
@@ -43,14 +44,15 @@
             fields!["database" => &name, "position" => position.unwrap_or_default()],
         );
         let waits = self.failovers.running.get(&cluster).is_some_and(|failover| {
-            failover.stage == FailoverStage::Demoting && failover.old.as_ref() == Some(&name)
+            failover.stage == FailoverStage::Demoting
+                && failover.old_primary.as_ref() == Some(&name)
         });
         if waits {
             self.choose_new_primary(&cluster);
         }
     }
 
-    /// Waits until every replica has reported since the change started.
+    /// Waits until every replica has reported since the failover started.
     pub(crate) fn probe_replicas(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(failover) = self.failovers.running.get(cluster) else { return };
@@ -63,8 +65,8 @@
                 continue;
             }
             missing += 1;
-            if database.report_asked.is_none() {
-                self.ask_report(name);
+            if database.report_requested_at.is_none() {
+                self.request_report(name);
             }
         }
         if missing == 0 {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Lifts fences under the duty, which excludes that another node is setting them.
+    /// Lifts fences while this node holds the promotion lease, so no other node can be setting
+    /// them.
     pub(crate) fn lift_fences(&mut self, cluster: &Name) {
         let Some(state) = self.clusters.get(cluster) else { return };
         for name in state.proof.fenced_replicas() {
@@ -84,7 +87,7 @@
         self.failovers.running.remove(cluster);
         self.failovers.due_since.remove(cluster);
         self.log("fences_lifted", fields!["cluster" => cluster]);
-        self.ask_all(cluster);
+        self.request_all_reports(cluster);
     }
 
     pub(crate) fn unfence(&mut self, name: &Name) {
@@ -108,14 +111,14 @@
                 return self.abort_failover(cluster, "no replica is listed");
             }
             if failover.relisted {
-                return self.set_stage(cluster, FailoverStage::Waiting);
+                return self.set_stage(cluster, FailoverStage::AwaitingAcknowledgements);
             }
             return self.set_stage(cluster, FailoverStage::Relisting);
         }
         let due: Vec<Name> = missing
             .into_iter()
             .filter(|name| {
-                failover.asked.get(name).is_none_or(|at| now >= *at + STEP_RETRY_INTERVAL)
+                failover.fence_sent.get(name).is_none_or(|at| now >= *at + STEP_RETRY_INTERVAL)
             })
             .collect();
         let mut asked = false;
@@ -129,11 +132,11 @@
             };
             self.send(connection, vec![BackendCommand::Fence { term }], CommandPurpose::Fence);
             if let Some(failover) = self.failovers.running.get_mut(cluster) {
-                failover.asked.insert(name, now);
+                failover.fence_sent.insert(name, now);
             }
             asked = true;
         }
-        // A replica that does not answer may be gone; the list tells.
+        // A replica that does not answer may be gone, so the list is read again.
         let repeat =
             self.failovers.running.get(cluster).is_some_and(|failover| {
                 now >= failover.last_step + Micros(STEP_RETRY_INTERVAL.0 * 4)
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Takes in the report that answers a fence.
+    /// Processes the report that answers a fence.
     pub(crate) fn fence_answered(
         &mut self,
         connection: LinkId,
@@ -174,7 +177,7 @@
             ],
         );
         if report.role == DatabaseRole::Primary && report.term.next() == term {
-            return self.abort_failover(&cluster, "the primary answers");
+            return self.abort_failover(&cluster, "the primary responds");
         }
         if report.fence > term
             && let Some(failover) = self.failovers.running.get_mut(&cluster)
@@ -188,7 +191,7 @@
         self.step_failover(&cluster);
     }
 
-    /// Returns the fenced replica with the longest log; among equals one that stays.
+    /// Returns the fenced replica with the longest log; among equals, one that is not leaving.
     pub(crate) fn longest_fenced_log(&self, cluster: &Name) -> Option<(Name, LogPoint)> {
         let failover = self.failovers.running.get(cluster)?;
         failover
@@ -205,8 +208,8 @@
             .map(|(name, report)| (name.clone(), report.received))
     }
 
-    /// Tells whether every fenced replica lacks a part of the log that is known to exist, and one that holds
-    /// it may come back.
+    /// Returns true if every fenced replica lacks a part of the log that is known to exist and a
+    /// database that holds it may return.
     pub(crate) fn waits_for_missing_log(&mut self, cluster: &Name) -> bool {
         let Some((name, position)) = self.longest_fenced_log(cluster) else { return true };
         let known = self.clusters.get(cluster).map(|state| state.proof.known_log_end());
--- a/crates/gate/src/leadership_proof.rs
+++ b/crates/gate/src/leadership_proof.rs
@@ -1,19 +1,19 @@
-//! Evidence that a primary leads, and how old data is.
+//! Proof that a primary leads, and of the age of data.
 //!
-//! Every change of primary fences *all* replicas that count before it names a new one. So a report of one
-//! replica, asked for at time `t`, of term `T` and without a fence above `T`, proves that no change beyond
-//! `T` had begun at `t`: all commits acknowledged before `t` are in the log of the primary of `T`. With one
-//! synchronous replica an acknowledged commit proves the same for the time at which it was sent, because a
-//! fenced replica does not receive.
+//! A failover fences every replica that counts before it names a new primary. A report that was
+//! requested from one replica at time `t`, that has term `T` and no fence above `T`, therefore
+//! proves that no failover beyond `T` had begun at `t`: all commits acknowledged before `t` are in
+//! the log of the primary of `T`. With one synchronous replica, an acknowledged commit proves the
+//! same for the time at which it was sent, because a fenced replica does not receive the log.
 //!
-//! Reports take a slot of a database each. So a node also holds a *read permit*: a lease in the store, renewed
-//! several times a second. A change of primary is announced first, and waits until each node has acknowledged
-//! it or cannot hold a permit any more. While its permit holds and no change is announced, what a report
-//! proved once stays true.
+//! Each report takes a slot of a database. To need fewer of them, a node also holds a *read lease*
+//! in the store, renewed several times a second. A failover is announced first, and waits until
+//! each node has acknowledged the announcement or can no longer hold a read lease. While the read
+//! lease is valid and no failover is announced, what a report has proved stays true.
 //!
-//! A position that the primary of `T` reported for a request sent at `u`, with such a proof for `t >= u`,
-//! covers every commit acknowledged before `u`. A replica that holds the position can serve reads whose
-//! accepted age reaches back to `u`.
+//! A position that the primary of `T` reported for a request sent at `u`, with such a proof for `t
+//! >= u`, covers every commit acknowledged before `u`. A replica that holds the position can serve
+//! reads whose accepted age reaches back to `u`.
 
 use std::collections::VecDeque;
 
@@ -21,14 +21,14 @@
 
 use crate::backend::{DatabaseReport, LogPoint};
 
-/// Positions of the primary that are kept; at one each [`SAMPLE_INTERVAL`] they reach back 4 s, beyond the
-/// accepted ages of the configurations.
+/// Number of positions of the primary that are kept. At one per [`SAMPLE_INTERVAL`] they reach back
+/// 4 s, which is more than the configured data ages.
 const SAMPLE_LIMIT: usize = 40;
 
-/// Least time between two positions that are kept.
+/// Minimum time between two kept positions.
 const SAMPLE_INTERVAL: Micros = Micros::from_millis(100);
 
-/// A position and the time before which every acknowledged commit is covered by it.
+/// A log position that covers every commit acknowledged before `since`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaderPosition {
     since: Micros,
@@ -57,17 +57,17 @@
 pub struct LeadershipProof {
     term: Term,
     leader: Option<Name>,
-    /// The database that last reported to lead `term`.
+    /// The database that last reported to be the primary of `term`.
     last_leader: Option<Name>,
-    /// That database has become a replica, so the term is over.
+    /// `last_leader` has become a replica, so `term` has ended.
     term_ended: bool,
-    /// No change beyond `term` had begun at this time.
+    /// Latest time at which no failover beyond `term` had begun.
     confirmed: Option<Micros>,
-    /// As `confirmed`, by a report or a commit and not by a permit.
+    /// As `confirmed`, but only by reports and commits, not by a read lease.
     directly_confirmed: Option<Micros>,
     /// Replicas with a fence above `term`, and since when.
     fenced: FastMap<Name, Micros>,
-    /// Highest position that a replica held or that a commit was acknowledged at.
+    /// Highest position that a replica held or at which a commit was acknowledged.
     known_log_end: LogPoint,
     unproved: VecDeque<LeaderPosition>,
     proved: VecDeque<LeaderPosition>,
@@ -79,12 +79,12 @@
         self.term
     }
 
-    /// Returns the database that reported to lead the highest term.
+    /// Returns the database that reported to be the primary of the highest term.
     pub fn leader(&self) -> Option<&Name> {
         self.leader.as_ref()
     }
 
-    /// Returns since when a replica has had a fence above the term.
+    /// Returns since when any replica has had a fence above the term.
     pub fn fenced_since(&self) -> Option<Micros> {
         self.fenced.values().min().copied()
     }
@@ -94,7 +94,7 @@
         self.fenced.keys().cloned().collect()
     }
 
-    /// Takes in a report that was asked for at `asked`. Returns true if the leader changed.
+    /// Processes a report that was requested at `asked`. Returns true if the leader changed.
     pub fn report(&mut self, database: &Name, asked: Micros, report: &DatabaseReport) -> bool {
         if report.term < self.term {
             return false;
@@ -118,7 +118,8 @@
         match report.role {
             DatabaseRole::Primary => {
                 if before.0 != self.term {
-                    // What was acknowledged before is in the log with which it began.
+                    // All commits acknowledged before are in the log with which the new primary
+                    // began.
                     self.known_log_end = report.received;
                 }
                 self.leader = Some(database.clone());
@@ -143,7 +144,7 @@
         before != (self.term, self.leader.clone())
     }
 
-    /// Takes in the end of the log that a database sent in answer to a command sent at `sent`.
+    /// Records the log position that a database sent in answer to a command sent at `sent`.
     pub fn observe_leader_position(&mut self, database: &Name, sent: Micros, point: LogPoint) {
         if self.leader.as_ref() != Some(database) {
             return;
@@ -159,20 +160,21 @@
         self.update_proved();
     }
 
-    /// Takes in a position that a replica holds. A commit may have been acknowledged because of it.
+    /// Records a position that a replica holds. A commit may have been acknowledged because of it.
     pub fn observe_replica_position(&mut self, database: &Name, point: LogPoint) {
         if self.leader.as_ref() != Some(database) {
             self.known_log_end = self.known_log_end.max(point);
         }
     }
 
-    /// Returns the position that a new primary has to hold so that no acknowledged commit is lost, as far
-    /// as this node knows.
+    /// Returns the position that a new primary must hold so that no acknowledged commit is lost, as
+    /// far as this node knows.
     pub fn known_log_end(&self) -> LogPoint {
         self.known_log_end
     }
 
-    /// Takes in a commit at `point`, sent at `sent`, that the leader acknowledged with a synchronous replica.
+    /// Records a commit at `point`, sent at `sent`, that the leader acknowledged with a synchronous
+    /// replica.
     pub fn commit_acknowledged(&mut self, database: &Name, sent: Micros, point: Option<LogPoint>) {
         if self.leader.as_ref() == Some(database) {
             self.known_log_end = self.known_log_end.max(point.unwrap_or_default());
@@ -180,14 +182,15 @@
         }
     }
 
-    /// Takes in that the permit, held since `acquired`, is valid now and no change is announced.
+    /// Extends the proof to `now`: the read lease, held since `acquired`, is valid and no failover
+    /// is announced.
     pub fn read_lease_valid(&mut self, acquired: Micros, now: Micros) {
         if self.leader.is_some() && self.directly_confirmed >= Some(acquired) {
             self.confirm(now);
         }
     }
 
-    /// Tells whether a permit held since `acquired` needs a report before it proves anything.
+    /// Returns true if a read lease held since `acquired` proves nothing until a report arrives.
     pub fn needs_direct_proof(&self, acquired: Micros) -> bool {
         self.directly_confirmed < Some(acquired)
     }
@@ -205,7 +208,7 @@
         self.update_proved();
     }
 
-    /// Moves the positions that the newest proof covers.
+    /// Moves the positions that the newest proof covers to the proved ones.
     fn update_proved(&mut self) {
         while let Some(sample) = self.unproved.front().copied()
             && self.confirmed >= Some(sample.since)
@@ -218,7 +221,7 @@
         }
     }
 
-    /// Tells whether the database's log holds every commit acknowledged before `since`.
+    /// Returns true if the database's log holds every commit acknowledged before `since`.
     pub fn proves(&self, database: &Name, since: Micros) -> bool {
         self.leader.as_ref() == Some(database) && self.confirmed >= Some(since)
     }
@@ -234,7 +237,7 @@
         self.proved.iter().find(|sample| sample.since >= since).map(|sample| sample.point)
     }
 
-    /// Forgets the leader, as after an error that only a replaced primary sends.
+    /// Forgets the leader, for example after an error that only a replaced primary sends.
     pub fn forget_leader(&mut self, database: &Name) {
         self.fenced.remove(database);
         if self.leader.as_ref() == Some(database) {
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -131,7 +131,7 @@
                 if let Some(state) = self.clusters.get_mut(&cluster) {
                     state.proof.forget_leader(&database);
                 }
-                self.ask_all(&cluster);
+                self.request_all_reports(&cluster);
                 self.retry_request(id, None, code, ErrorCode::Busy);
             }
             ErrorCode::Lagging => {
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -69,9 +69,9 @@
             return (now >= since + limit).then_some("no primary");
         };
         self.failovers.no_primary_since.remove(cluster);
-        let Some(database) = self.databases.get(&leader) else { return Some("primary gone") };
+        let Some(database) = self.databases.get(&leader) else { return Some("primary removed") };
         if database.unanswered_since().is_some_and(|since| now >= since + PRIMARY_SILENCE_TIMEOUT) {
-            return Some("primary silent");
+            return Some("primary unresponsive");
         }
         if state.commit_overdue.is_some_and(|since| now >= since + COMMIT_STALL_TIMEOUT) {
             return Some("commits stalled");
@@ -87,7 +87,7 @@
         let Some(leader) = state.proof.leader() else { return };
         let quiet = |name: &Name| {
             self.databases.get(name).is_some_and(|database| {
-                database.report_asked.is_none()
+                database.report_requested_at.is_none()
                     && database.answered.is_none_or(|at| now >= at + SUSPICION_PROBE_DELAY)
             })
         };
@@ -100,7 +100,7 @@
         let replica = self.preferred_replica(state).filter(|name| quiet(name));
         let asked: Vec<Name> = replica.into_iter().chain([leader]).cloned().collect();
         for name in asked {
-            self.ask_report(&name);
+            self.request_report(&name);
         }
     }
 
@@ -168,7 +168,7 @@
         }
         let only_lifts_fences = self.has_stale_fences(cluster) && suspicion_reason.is_none();
         let (reason, place) = if only_lifts_fences {
-            ("fences left", self.owner_position(cluster))
+            ("stale fences", self.owner_position(cluster))
         } else if self.can_replace_leaving_primary(cluster) {
             ("primary leaving", self.owner_position(cluster))
         } else if let Some(reason) = suspicion_reason {
@@ -218,15 +218,15 @@
             cluster.clone(),
             ClusterFailover {
                 stage: FailoverStage::Claiming,
-                old,
+                old_primary: old,
                 term,
                 started: now,
                 last_step: now,
                 in_flight: false,
                 replicas: Vec::new(),
                 fenced: FastMap::default(),
-                asked: FastMap::default(),
-                chosen: None,
+                fence_sent: FastMap::default(),
+                new_primary: None,
                 relisted: false,
                 only_lifts_fences,
                 announced: 0,
