--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Clusters: their databases, evidence about their leader, and requests that wait for it.
+//! Clusters: their databases, the proof of their leader, and the requests that wait for it.
 
 use model::{DatabaseRole, FastSet, Micros, Name, Term};
 
@@ -9,28 +9,30 @@
 use crate::request::{RequestStage, WorkId};
 use crate::{Gate, fields};
 
-/// Time within which a change of primary is expected to be over; requests wait for it this long and are
-/// refused at once after it. Detection, one round of fences and one promotion.
+/// Time within which a failover is expected to complete: detection, one round of fences and one
+/// promotion. Requests wait for it this long; after it, new requests are refused at once.
 pub(crate) const FAILOVER_WAIT: Micros = Micros::from_millis(2_500);
 
-/// Pause after a report that proved nothing, such as one of a fenced replica.
+/// Time between report requests after a report that proved nothing, such as one of a fenced
+/// replica.
 const PROOF_RETRY_INTERVAL: Micros = Micros::from_millis(100);
 
-/// Interval of asking every database while no leader is known. A new primary's entry changes at once, so
-/// this is only for changes that the store does not show.
+/// Interval of report requests to every database while no leader is known. The entry of a new
+/// primary changes at once, so this finds only changes that the store does not show.
 const SEARCH_INTERVAL: Micros = Micros::from_millis(500);
 
-/// Interval while a leader is known but does not answer.
+/// Interval of report requests while a leader is known but does not answer.
 const UNRESPONSIVE_LEADER_INTERVAL: Micros = Micros::from_millis(1_500);
 
-/// Time for which a database without an entry is kept. Entries that lapse while the store is away are back
-/// two seconds after its return; the platform allows seven seconds of use after an entry is gone.
+/// Time for which a database without an entry is kept. Entries that expire while the store is
+/// unavailable are back two seconds after it returns; the platform allows seven seconds of use
+/// after an entry is removed.
 pub(crate) const UNLISTED_GRACE: Micros = Micros::from_millis(4_000);
 
-/// Time after which a leaving database gets no new request; the platform allows seven seconds.
+/// Time after which a leaving database gets no new requests; the platform allows seven seconds.
 pub(crate) const LEAVING_GRACE: Micros = Micros::from_millis(5_500);
 
-/// What a node knows of one cluster.
+/// What a node knows about one cluster.
 #[derive(Debug, Default)]
 pub(crate) struct ClusterState {
     pub(crate) members: Vec<Name>,
@@ -39,24 +41,26 @@
     pub(crate) waiting_for_leader: Vec<WorkId>,
     /// Requests that wait for proof of the leader.
     pub(crate) waiting_for_proof: Vec<WorkId>,
-    /// Since when no usable leader is known, while requests need one.
+    /// Since when requests have needed a usable leader and none is known.
     pub(crate) leader_missed: Option<Micros>,
-    /// Latest time that a proof is needed for.
-    pub(crate) proof_needed_since: Option<Micros>,
+    /// Latest time for which a proof is needed.
+    pub(crate) needed_proof_time: Option<Micros>,
     next_search: Micros,
-    /// Term at which a change of primary was announced.
+    /// Term at which a failover was announced.
     pub(crate) announced_term: Option<Term>,
-    /// When the last announced change was over; what was directly_confirmed before counts no more.
+    /// When the last announced failover was over; earlier reports and commits prove nothing any
+    /// more.
     pub(crate) settled: Micros,
-    /// When a commit was sent that is overdue, with none acknowledged since.
+    /// When the overdue commit was sent; cleared by an acknowledged commit.
     pub(crate) commit_overdue: Option<Micros>,
     /// When a report last failed to prove the leader.
     proof_failed: Option<Micros>,
 }
 
 impl Gate {
-    /// Returns the replica that this node sends reads to while it is not loaded: one in its own data centre,
-    /// else one by the nodes' order. So a replica has connections from about half of the nodes.
+    /// Returns the replica that gets this node's reads while it is not loaded: one in the node's
+    /// own data centre, otherwise one by the order of the nodes. A replica thus has connections
+    /// from about half of the nodes.
     pub(crate) fn preferred_replica<'a>(&self, state: &'a ClusterState) -> Option<&'a Name> {
         let leader = state.proof.leader();
         let usable: Vec<&Name> = state
@@ -116,7 +120,7 @@
         let database =
             self.databases.entry(name.clone()).or_insert_with(|| Database::new(listed.clone()));
         let role_changed = database.listed.claimed_role != listed.claimed_role;
-        database.unlisted = None;
+        database.unlisted_since = None;
         if listed.leaving {
             database.leaving_since.get_or_insert(now);
         } else {
@@ -149,9 +153,9 @@
     pub(crate) fn database_unlisted(&mut self, name: &Name) {
         let now = self.now;
         if let Some(database) = self.databases.get_mut(name)
-            && database.unlisted.is_none()
+            && database.unlisted_since.is_none()
         {
-            database.unlisted = Some(now);
+            database.unlisted_since = Some(now);
             self.log("database_unlisted", fields!["database" => name]);
         }
     }
@@ -172,14 +176,14 @@
         self.log("database_removed", fields!["database" => name]);
     }
 
-    /// Removes the databases whose entries stayed away.
+    /// Removes the databases whose entries were not listed again in time.
     pub(crate) fn remove_unlisted(&mut self) {
         let now = self.now;
         let gone: Vec<Name> = self
             .databases
             .iter()
             .filter(|(_, database)| {
-                database.unlisted.is_some_and(|since| now >= since + UNLISTED_GRACE)
+                database.unlisted_since.is_some_and(|since| now >= since + UNLISTED_GRACE)
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -188,14 +192,14 @@
         }
     }
 
-    /// Asks for proof that the leader still leads, for a request that began at `need`.
-    pub(crate) fn request_proof(&mut self, cluster: &Name, need: Micros) {
+    /// Requests proof that the leader still leads, for a request that began at `proof_time`.
+    pub(crate) fn request_proof(&mut self, cluster: &Name, proof_time: Micros) {
         self.apply_read_lease(cluster);
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        if state.proof.confirmed_at() >= Some(need) {
+        if state.proof.confirmed_at() >= Some(proof_time) {
             return;
         }
-        state.proof_needed_since = state.proof_needed_since.max(Some(need));
+        state.needed_proof_time = state.needed_proof_time.max(Some(proof_time));
         if state.proof_failed.is_some_and(|at| self.now < at + PROOF_RETRY_INTERVAL) {
             return;
         }
@@ -205,10 +209,11 @@
         let mut best: Option<(bool, bool, u32, Name)> = None;
         for name in members {
             let Some(database) = self.databases.get(&name) else { continue };
-            if Some(&name) == leader.as_ref() || database.unlisted.is_some() {
+            if Some(&name) == leader.as_ref() || database.unlisted_since.is_some() {
                 continue;
             }
-            if database.report_requested_at >= Some(need) && database.is_responsive(self.now) {
+            if database.report_requested_at >= Some(proof_time) && database.is_responsive(self.now)
+            {
                 return;
             }
             if database.report_requested_at.is_some() || database.listed.leaving {
@@ -226,14 +231,14 @@
         }
     }
 
-    /// Asks a database for a report as soon as a connection is free.
+    /// Requests a report from a database as soon as a connection is idle.
     pub(crate) fn request_report(&mut self, name: &Name) {
         let Some(database) = self.databases.get_mut(name) else { return };
         database.report_wanted = true;
         self.send_wanted_report(name);
     }
 
-    /// Asks every database of a cluster.
+    /// Requests a report from every database of the cluster.
     pub(crate) fn request_all_reports(&mut self, cluster: &Name) {
         let Some(state) = self.clusters.get(cluster) else { return };
         for name in state.members.clone() {
@@ -257,7 +262,7 @@
         self.send(connection, vec![BackendCommand::Report], CommandPurpose::Report);
     }
 
-    /// Takes in a database's report of itself.
+    /// Processes a database's report.
     pub(crate) fn report_answered(
         &mut self,
         connection: LinkId,
@@ -271,20 +276,20 @@
             database.report_requested_at = None;
         }
         let Some(report) = answer.report else {
-            // Busy; another replica may answer, or this one later.
-            if let Some(need) =
-                self.clusters.get(&cluster).and_then(|state| state.proof_needed_since)
+            // The database is busy. Another replica may answer, or this one later.
+            if let Some(proof_time) =
+                self.clusters.get(&cluster).and_then(|state| state.needed_proof_time)
             {
-                self.request_proof(&cluster, need);
+                self.request_proof(&cluster, proof_time);
             }
             return;
         };
         database.report = Some(report);
-        database.reported = Some(self.now);
+        database.last_report_at = Some(self.now);
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
         let changed = state.proof.report(&name, asked, &report);
-        if state.proof.confirmed_at() >= state.proof_needed_since {
-            state.proof_needed_since = None;
+        if state.proof.confirmed_at() >= state.needed_proof_time {
+            state.needed_proof_time = None;
             state.proof_failed = None;
         } else if report.role == DatabaseRole::Replica {
             state.proof_failed = Some(self.now);
@@ -308,8 +313,10 @@
         }
         self.wake_waiting_for_proof(&cluster);
         self.wake_waiting_for_leader(&cluster);
-        if let Some(need) = self.clusters.get(&cluster).and_then(|state| state.proof_needed_since) {
-            self.request_proof(&cluster, need);
+        if let Some(proof_time) =
+            self.clusters.get(&cluster).and_then(|state| state.needed_proof_time)
+        {
+            self.request_proof(&cluster, proof_time);
         }
     }
 
@@ -324,7 +331,7 @@
             if request.stage != RequestStage::WaitingForProof {
                 continue;
             }
-            if lost || confirmed >= request.need {
+            if lost || confirmed >= request.proof_time {
                 self.route_request(id);
             } else if let Some(state) = self.clusters.get_mut(cluster) {
                 state.waiting_for_proof.push(id);
@@ -350,7 +357,7 @@
         }
     }
 
-    /// Asks for positions, looks for leaders, and refuses what has waited too long.
+    /// Requests proofs and reports, and refuses requests that have waited too long.
     pub(crate) fn maintain_clusters(&mut self) {
         let names: Vec<Name> = self.clusters.keys().cloned().collect();
         for cluster in names {
@@ -361,8 +368,10 @@
     fn maintain_cluster(&mut self, cluster: &Name) {
         let now = self.now;
         let holds = self.owns_connections(cluster);
-        if let Some(need) = self.clusters.get(cluster).and_then(|state| state.proof_needed_since) {
-            self.request_proof(cluster, need);
+        if let Some(proof_time) =
+            self.clusters.get(cluster).and_then(|state| state.needed_proof_time)
+        {
+            self.request_proof(cluster, proof_time);
         }
         self.probe_overdue(cluster);
         self.wake_waiting_for_proof(cluster);
@@ -393,7 +402,7 @@
                 state.next_search = now + interval;
                 return self.request_all_reports(cluster);
             }
-            // The first search waits one interval for what a listed primary reports.
+            // The first search waits one interval for the report of a listed primary.
             state.next_search = now + SEARCH_INTERVAL;
         }
         if holds {
@@ -401,19 +410,21 @@
         }
     }
 
-    /// Asks databases whose answers are overdue for a report, since no request goes there until they answer.
+    /// Requests reports from databases with overdue answers, because no request goes there until
+    /// they answer.
     fn probe_overdue(&mut self, cluster: &Name) {
         let Some(state) = self.clusters.get(cluster) else { return };
         for name in state.members.clone() {
             let Some(database) = self.databases.get(&name) else { continue };
             let silent = !database.is_responsive(self.now) && database.overdue_since.is_some();
-            if silent && database.report_requested_at.is_none() && database.unlisted.is_none() {
+            if silent && database.report_requested_at.is_none() && database.unlisted_since.is_none()
+            {
                 self.request_report(&name);
             }
         }
     }
 
-    /// Asks for one report if the permit needs it to prove anything.
+    /// Requests one report if the read lease proves nothing without it.
     fn prove_for_read_lease(&mut self, cluster: &Name) {
         let Some(acquired) = self.read_lease_acquired() else { return };
         let Some(state) = self.clusters.get(cluster) else { return };
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to databases: opening, answers, loss, and giving them back.
+//! Connections to databases and nodes: opening, answers, loss and release.
 
 use model::{DatabaseRole, Micros, Name};
 
@@ -11,55 +11,58 @@
 use crate::statement::{ErrorCode, SessionState};
 use crate::{Gate, fields};
 
-/// Time for opening a connection: the handshake behind a full queue.
+/// Timeout for opening a connection, including a handshake behind a full queue.
 const OPEN_TIMEOUT: Micros = Micros::from_millis(1_000);
 
-/// Time for the answer to a report. Reports take a slot, behind a queue of 16 statements.
+/// Timeout for the answer to a report. Reports take a slot, behind a queue of 16 statements.
 const REPORT_TIMEOUT: Micros = Micros::from_millis(800);
 
-/// Time that a statement without a waiting request may take before its connection is closed.
+/// Time that a statement whose request is gone may take before its connection is closed.
 const ABANDONED_STATEMENT_TIMEOUT: Micros = Micros::from_millis(2_000);
 
-/// Pause after a failed attempt to open a connection; doubles up to the longest pause.
+/// Backoff after a failed attempt to open a connection; it doubles up to the maximum.
 const OPEN_BACKOFF_MIN: Micros = Micros::from_millis(60);
 const OPEN_BACKOFF_MAX: Micros = Micros::from_millis(500);
 
-/// Pause after a database refused a connection for its limit.
+/// Backoff after a database refused a connection for its connection limit.
 const LIMIT_REFUSAL_BACKOFF: Micros = Micros::from_millis(150);
 
-/// Time after which an unused connection beyond the equal share is closed: long against the pauses within a
-/// burst of requests, and against the 12 ms that a new connection takes.
+/// Time after which an unused connection beyond the equal share is closed. It is long compared with
+/// the pauses within a burst of requests and with the 12 ms that a new connection takes.
 const SURPLUS_IDLE_TIMEOUT: Micros = Micros::from_millis(600);
 
-/// The same where each node may keep several, so that keeping one more takes little from the others.
+/// As [`SURPLUS_IDLE_TIMEOUT`], where each node may keep several connections, so that one more
+/// takes little from the others.
 const LARGE_SHARE_IDLE_TIMEOUT: Micros = Micros::from_millis(3_000);
 
-/// The same for connections to other nodes, which have many: the entry of an unused node is kept as long.
+/// As [`SURPLUS_IDLE_TIMEOUT`], for connections to other nodes, which accept many. The entry of an
+/// unused node is kept as long.
 const PEER_IDLE_TIMEOUT: Micros = Micros::from_millis(5_000);
 
-/// Connections to another node for one client database.
+/// Maximum number of connections to another node for one client database.
 const PEER_CONNECTIONS: u32 = 8;
 
-/// Time after its start in which a node keeps to its equal share of connections. Databases drop the connections
-/// of VMs that lost power within 3 s.
+/// Time after its start in which a node keeps to its equal share of connections. Databases drop the
+/// connections of VMs that lost power within 3 s.
 const STARTUP_GRACE: Micros = Micros::from_millis(3_000);
 
-/// Connections that a database without a known limit gets.
+/// Connection limit of a database without a configured limit.
 const DEFAULT_CONNECTIONS: u32 = 8;
 
 impl Gate {
-    /// Returns the connections to each of a cluster's databases that this node keeps in a steady state.
+    /// Returns the number of connections to each of a cluster's databases that this node keeps in a
+    /// steady state.
     fn steady_connections(&self, cluster: &Name) -> u32 {
         let limits = self.table.clusters.get(cluster);
         let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.connections);
         steady_share(connections, self.sharing_node_count(cluster))
     }
 
-    /// Opens connections for waiting requests, and the first one of each database.
+    /// Opens connections for queued requests, and the first connection to each database.
     pub(crate) fn open_connections(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
-        let closed = database.unlisted.is_some()
+        let closed = database.unlisted_since.is_some()
             || database.leaving_since.is_some_and(|since| now >= since + LEAVING_GRACE);
         if now < database.retry_open || closed {
             return;
@@ -82,14 +85,13 @@
         self.open_connection(name);
     }
 
-    /// Opens a connection.
     pub(crate) fn open_connection(&mut self, name: &Name) {
         let now = self.now;
         let connection = LinkId(self.next_id());
         let Some(database) = self.databases.get_mut(name) else { return };
         database.connections.push(connection);
         database.opening += 1;
-        database.attempt(now);
+        database.record_attempt(now);
         let (cluster, address) = (database.listed.cluster.clone(), database.listed.address);
         self.connections
             .insert(connection, BackendConnection::new(name.clone(), cluster.clone(), now));
@@ -102,8 +104,8 @@
         self.count("links_opened");
     }
 
-    /// Tells whether a connection to the database is kept without requests: to the leader, and to the
-    /// replica that this node prefers.
+    /// Returns true if a connection to the database is kept open without requests: to the leader,
+    /// and to the replica that this node prefers.
     fn keeps_connection_open(&self, name: &Name) -> bool {
         let Some(database) = self.databases.get(name) else { return false };
         let Some(state) = self.clusters.get(&database.listed.cluster) else { return false };
@@ -129,7 +131,7 @@
         database.opening -= 1;
         database.open_failures = 0;
         if database.peer.is_some() {
-            // Another node is probed by connections, as it has no command of its own.
+            // Other nodes are probed by opening a connection, because there is no probe command.
             database.overdue_since = None;
         }
         database.applied = point.max(database.applied);
@@ -139,7 +141,7 @@
         {
             database.report_wanted = true;
         }
-        self.answered(&name);
+        self.record_answer(&name);
         self.dispatch_queued(&name);
     }
 
@@ -149,7 +151,7 @@
         let name = state.database.clone();
         self.log("link_refused", fields!["database" => &name, "code" => code.name()]);
         if code == ErrorCode::TooManyConnections {
-            self.answered(&name);
+            self.record_answer(&name);
         }
         self.remove_connection(connection);
         if let Some(database) = self.databases.get_mut(&name) {
@@ -167,7 +169,7 @@
         let name = state.database.clone();
         let opening = !state.open;
         if let Some(database) = self.databases.get_mut(&name) {
-            database.attempt(now);
+            database.record_attempt(now);
             if opening {
                 let pause = OPEN_BACKOFF_MIN.0 << database.open_failures.min(4);
                 database.open_failures += 1;
@@ -186,7 +188,7 @@
         self.open_connections(&name);
     }
 
-    /// Closes a connection and ends what was on it.
+    /// Closes a connection and ends the requests on it.
     pub(crate) fn close_connection(&mut self, connection: LinkId, reason: &'static str) {
         if !self.connections.contains_key(&connection) {
             return;
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Sends commands on a connection and notes what their answers are for.
+    /// Sends commands on a connection and records their purpose.
     pub(crate) fn send(
         &mut self,
         connection: LinkId,
@@ -252,13 +254,13 @@
             state.pending.push_back(PendingCommand { purpose, sent: now });
         }
         if let Some(database) = self.databases.get_mut(&state.database) {
-            database.attempt(now);
+            database.record_attempt(now);
         }
         self.out.push(GateAction::Send { link: connection, commands });
     }
 
-    /// Notes that a database answered.
-    fn answered(&mut self, name: &Name) {
+    /// Records that a database answered.
+    fn record_answer(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
         let waiting = database.connections.iter().any(|connection| {
@@ -267,8 +269,8 @@
                 .is_some_and(|connection| !connection.open || !connection.pending.is_empty())
         });
         let Some(database) = self.databases.get_mut(name) else { return };
-        database.answered = Some(now);
-        database.trying_since = waiting.then_some(now);
+        database.last_answer = Some(now);
+        database.attempt_unanswered_since = waiting.then_some(now);
     }
 
     pub(crate) fn connection_answered(&mut self, connection: LinkId, answer: BackendAnswer) {
@@ -279,10 +281,10 @@
             return self.close_connection(connection, "answer without a command");
         };
         state.used = now;
-        self.answered(&name);
+        self.record_answer(&name);
         if let Some(database) = self.databases.get_mut(&name) {
             database.overdue_since = None;
-            database.command_answered = Some(now);
+            database.last_command_answer = Some(now);
         }
         if let CommandPurpose::Run(_) = pending.purpose
             && let Some(database) = self.databases.get_mut(&name)
@@ -330,7 +332,8 @@
         self.release_connection(connection);
     }
 
-    /// The request of an answer was given up. What it left open is rolled back.
+    /// Handles an answer whose request was given up. A transaction that it left open is rolled
+    /// back.
     fn abandoned_statement_answered(&mut self, connection: LinkId, answer: &BackendAnswer) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.transaction_session = None;
@@ -339,7 +342,7 @@
         }
     }
 
-    /// Gives a connection back once nothing is in flight on it.
+    /// Makes a connection available to other requests once nothing is in flight on it.
     fn release_connection(&mut self, connection: LinkId) {
         let Some(state) = self.connections.get(&connection) else { return };
         if !state.pending.is_empty() || state.transaction_session.is_some() {
@@ -360,7 +363,7 @@
         self.dispatch_queued(&name);
     }
 
-    /// Returns a connection for a command that does not belong to a client, if one is open.
+    /// Returns an open connection for a command that does not belong to a client.
     pub(crate) fn control_connection(&mut self, name: &Name) -> Option<LinkId> {
         let database = self.databases.get_mut(name)?;
         if let Some(connection) = database.idle.pop() {
@@ -376,7 +379,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Closes connections that are silent, in doubt or unused.
+    /// Closes connections that are unresponsive or unused, and dispatches requests that became due.
     pub(crate) fn maintain_connections(&mut self) {
         let now = self.now;
         let mut silent = Vec::new();
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -1,4 +1,4 @@
-//! Databases of the clusters and the connections to them.
+//! Databases of the clusters, other nodes that serve in their place, and the connections to both.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,58 +11,63 @@
 use crate::route::RouteConfig;
 use crate::statement::StatementAccess;
 
-/// Shares of the ranks in percent of slot time, and waiting requests for each. The floors are those of
-/// the project's own example configuration.
+/// Minimum shares of the ranks in percent of slot time, and their queue limits. The shares are
+/// those of the project's example configuration.
 pub(crate) const RANKS: RankMap<RankConfig> = RankMap([
     RankConfig { floor_percent: 0, queue_limit: 256 },
     RankConfig { floor_percent: 20, queue_limit: 256 },
     RankConfig { floor_percent: 10, queue_limit: 256 },
 ]);
 
-/// Silence of a database after which new requests go elsewhere. Far above a round trip between data
-/// centres, below what a queue of 16 statements takes only in rare cases.
+/// Silence of a database after which new requests go elsewhere: far longer than a round trip
+/// between data centres, and exceeded by a queue of 16 statements only in rare cases.
 pub(crate) const UNRESPONSIVE_TIMEOUT: Micros = Micros::from_millis(350);
 
-/// Silence of another node after which a further connection to it is opened to see whether it answers. Its
-/// requests may wait in a queue for longer. What is left until [`UNRESPONSIVE_TIMEOUT`] is the time for the answer.
+/// Silence of another node after which another connection to it is opened as a probe, because its
+/// requests may wait in a queue for longer. The time left until [`UNRESPONSIVE_TIMEOUT`] is for the
+/// answer.
 const PEER_PROBE_DELAY: Micros = Micros::from_millis(150);
 
-/// Requests that all nodes together send to a database for each statement that it executes at once.
+/// Requests that all nodes together send to a database per statement that it executes concurrently.
 const SENT_PER_SLOT: u32 = 2;
 
-/// Slots for each further request that the only node of a database sends, so that a slot that becomes free has
-/// the next request at once: a round trip is a small part of a statement.
+/// Slots per additional request that the only node of a database sends, so that a free slot has its
+/// next request at once. A round trip is short compared with a statement.
 const SLOTS_PER_EXTRA_REQUEST: u32 = 4;
 
-/// Part of a database's connections that the nodes use together in a steady state. After all VMs lost power
-/// the databases keep the old connections for seconds, and the new processes need the other half.
+/// The nodes together use one part in this many of a database's connections in a steady state.
+/// After all VMs lose power, the databases keep the old connections for seconds, and the new
+/// processes need the other half.
 const STEADY_SHARE_DIVISOR: u32 = 2;
 
-/// Time after a refusal for the limit in which a node keeps to its equal share.
+/// Time after a refusal for the connection limit in which a node keeps to its equal share.
 const LIMIT_REFUSAL_TTL: Micros = Micros::from_millis(1_000);
 
-/// Time for which an applied position is believed; a replica that catches up gains on it.
+/// Time for which an applied position is considered current; a replica that catches up passes it.
 const APPLIED_POSITION_TTL: Micros = Micros::from_millis(150);
 
-/// Connections beyond the equal share that a node opens while the database has spare ones.
+/// Connections beyond the equal share that a node opens while the database has free ones.
 const EXTRA_CONNECTIONS: u32 = 3;
 
-/// The same where the share itself is several connections.
+/// As [`EXTRA_CONNECTIONS`], where the share itself is several connections.
 const LARGE_SHARE_EXTRA_CONNECTIONS: u32 = 2;
 
-/// Time since its last answer for which a database counts as going on: several statements of the slowest kind.
+/// Time since its last answer for which a database counts as making progress: several statements of
+/// the slowest kind.
 const PROGRESS_TIMEOUT: Micros = Micros::from_millis(150);
 
-/// Part of an expected wait that is added to it, as statements take unevenly long.
+/// One part in this many of an expected wait is added to it, because the durations of statements
+/// vary.
 const WAIT_MARGIN_DIVISOR: u64 = 3;
 
-/// Time in which an estimate without new answers halves, so that a database that was slow is tried again.
+/// Time in which an estimate without new answers halves, so that a database that was slow is tried
+/// again.
 const LATENCY_HALF_LIFE: Micros = Micros::from_millis(400);
 
-/// Least estimate; below it differences come from the network.
+/// Minimum estimate; differences below it come from the network.
 const LATENCY_MIN: Micros = Micros::from_millis(2);
 
-/// Smoothed time from sending a statement to its answer, the database's own queue included.
+/// Smoothed time from sending a statement to its answer, including the database's own queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LatencyEstimate {
     smoothed: Micros,
@@ -70,7 +75,7 @@
 }
 
 impl LatencyEstimate {
-    /// Rises faster than it falls: a queue that builds up matters at once.
+    /// Rises faster than it falls, so that a growing queue takes effect at once.
     pub(crate) fn observe(&mut self, now: Micros, sample: Micros) {
         let current = self.value(now);
         self.smoothed = if sample > current {
@@ -87,42 +92,42 @@
     }
 }
 
-/// A database, as listed and as found.
+/// A database, with its listed properties and its state as this node sees it.
 #[derive(Debug)]
 pub(crate) struct Database {
-    /// Set if this stands for another node that serves one client database.
+    /// Set if this entry stands for another node that serves one client database.
     pub(crate) peer: Option<Name>,
     pub(crate) listed: ListedDatabase,
-    /// Since when the entry is gone, if it is.
-    pub(crate) unlisted: Option<Micros>,
-    /// Since when it is leaving.
+    /// Since when the entry has been missing from the list.
+    pub(crate) unlisted_since: Option<Micros>,
+    /// Since when the database has been leaving.
     pub(crate) leaving_since: Option<Micros>,
     pub(crate) queue: SlotQueue,
-    /// Requests that this node sends at once.
+    /// Requests that this node sends concurrently.
     slots: u32,
     /// Open connections and those being opened.
     pub(crate) connections: Vec<LinkId>,
     pub(crate) idle: Vec<LinkId>,
     pub(crate) opening: u32,
     pub(crate) report: Option<DatabaseReport>,
-    pub(crate) reported: Option<Micros>,
+    pub(crate) last_report_at: Option<Micros>,
     pub(crate) applied: Option<LogPoint>,
     pub(crate) applied_at: Micros,
-    /// When it last refused a connection for its limit.
+    /// When a connection was last refused for the connection limit.
     pub(crate) limit_refused_at: Option<Micros>,
-    /// Since when an attempt to reach it is without an answer.
-    pub(crate) trying_since: Option<Micros>,
-    pub(crate) answered: Option<Micros>,
-    /// When an entry that stands for a node was made.
-    pub(crate) chosen: Micros,
-    /// When it last answered a command; opening a connection is none.
-    pub(crate) command_answered: Option<Micros>,
+    /// Since when an attempt to reach the database has been unanswered.
+    pub(crate) attempt_unanswered_since: Option<Micros>,
+    pub(crate) last_answer: Option<Micros>,
+    /// When an entry that stands for another node was created.
+    pub(crate) created: Micros,
+    /// When a command was last answered; opening a connection does not count.
+    pub(crate) last_command_answer: Option<Micros>,
     /// When a statement was sent whose answer is overdue, with no answer to any command since.
     pub(crate) overdue_since: Option<Micros>,
     pub(crate) latency: LatencyEstimate,
     pub(crate) retry_open: Micros,
     pub(crate) open_failures: u32,
-    /// When the report in flight was asked for.
+    /// When the report in flight was requested.
     pub(crate) report_requested_at: Option<Micros>,
     pub(crate) report_wanted: bool,
 }
@@ -132,7 +137,7 @@
         Database {
             peer: None,
             listed,
-            unlisted: None,
+            unlisted_since: None,
             leaving_since: None,
             queue: SlotQueue::new(QueueConfig { slots: 1, ranks: RANKS }),
             slots: 1,
@@ -140,14 +145,14 @@
             idle: Vec::new(),
             opening: 0,
             report: None,
-            reported: None,
+            last_report_at: None,
             applied: None,
             applied_at: Micros::ZERO,
             limit_refused_at: None,
-            trying_since: None,
-            answered: None,
-            chosen: Micros::ZERO,
-            command_answered: None,
+            attempt_unanswered_since: None,
+            last_answer: None,
+            created: Micros::ZERO,
+            last_command_answer: None,
             overdue_since: None,
             latency: LatencyEstimate::default(),
             retry_open: Micros::ZERO,
@@ -157,16 +162,16 @@
         }
     }
 
-    /// Tells whether new requests may be sent here.
+    /// Returns true if new requests may be sent here.
     pub(crate) fn is_usable(&self, now: Micros) -> bool {
-        self.unlisted.is_none() && self.is_responsive(now)
+        self.unlisted_since.is_none() && self.is_responsive(now)
     }
 
     pub(crate) fn is_responsive(&self, now: Micros) -> bool {
         self.unanswered_since().is_none_or(|since| now < since + UNRESPONSIVE_TIMEOUT)
     }
 
-    /// Tells whether it stands for another node that owes answers and should be probed.
+    /// Returns true if the entry stands for another node that owes answers and should be probed.
     pub(crate) fn wants_probe(&self, now: Micros) -> bool {
         self.peer.is_some()
             && self.opening == 0
@@ -174,17 +179,19 @@
             && self.unanswered_since().is_some_and(|since| now >= since + PEER_PROBE_DELAY)
     }
 
-    /// Returns since when attempts to reach it or statements are without an answer.
+    /// Returns since when attempts to reach the database or statements have been unanswered.
     pub(crate) fn unanswered_since(&self) -> Option<Micros> {
-        match (self.trying_since, self.overdue_since) {
+        match (self.attempt_unanswered_since, self.overdue_since) {
             (Some(trying), Some(overdue)) => Some(trying.min(overdue)),
             (trying, overdue) => trying.or(overdue),
         }
     }
 
-    /// Sets how many requests this node sends at once, outside transactions. Nodes that share a database
-    /// together send twice what executes at once, so that no slot waits for a node; one that has it for itself
-    /// sends little more than executes. The rest waits here, in the order of ranks.
+    /// Sets how many requests this node sends concurrently, outside transactions.
+    ///
+    /// Nodes that share a database together send twice what it executes concurrently, so that no
+    /// slot waits for a node. A node that has the database for itself sends little more than it
+    /// executes. The remaining requests wait here, in the order of ranks.
     pub(crate) fn set_concurrency(&mut self, nodes: u32) {
         let executed = self.listed.slots.max(1);
         let slots = if nodes <= 1 && self.peer.is_none() {
@@ -198,13 +205,13 @@
         }
     }
 
-    /// Tells whether time alone may let it send something or open a connection.
+    /// Returns true if the passing of time alone may allow a command or a new connection.
     pub(crate) fn needs_dispatch(&self) -> bool {
         let waits = self.queue.stats().waiting.0.iter().any(|waiting| *waiting > 0);
         waits || self.report_wanted || self.connections.is_empty()
     }
 
-    /// Returns the requests that wait or run.
+    /// Returns the number of requests that wait or run.
     pub(crate) fn load(&self) -> u32 {
         let waiting: u32 = self.queue.stats().waiting.0.iter().sum();
         let busy = self.connections.len() - self.idle.len();
@@ -214,30 +221,31 @@
     /// Returns how many connections this node may have, given its share in a steady state.
     pub(crate) fn connection_limit(&self, now: Micros, share: u32) -> u32 {
         let extra = if share > 1 { LARGE_SHARE_EXTRA_CONNECTIONS } else { EXTRA_CONNECTIONS };
-        if self.is_full(now) { share } else { share + extra }
+        if self.is_at_connection_limit(now) { share } else { share + extra }
     }
 
-    /// Tells whether it refused a connection for its limit a short while ago.
-    pub(crate) fn is_full(&self, now: Micros) -> bool {
+    /// Returns true if a connection was refused for the connection limit recently.
+    pub(crate) fn is_at_connection_limit(&self, now: Micros) -> bool {
         self.limit_refused_at.is_some_and(|at| now < at + LIMIT_REFUSAL_TTL)
     }
 
-    /// Tells whether it has no connection for this node and will not get one soon.
+    /// Returns true if this node has no connection to the database and will not get one soon.
     pub(crate) fn has_no_connection(&self, now: Micros) -> bool {
-        self.is_full(now) && self.connections.len() == self.opening as usize
+        self.is_at_connection_limit(now) && self.connections.len() == self.opening as usize
     }
 
-    /// Tells whether it was found to lack a position, recently enough to believe it still does.
-    pub(crate) fn lacks(&self, now: Micros, point: Option<LogPoint>) -> bool {
+    /// Returns true if the database lacked the position recently, so that it probably still does.
+    pub(crate) fn lacks_position(&self, now: Micros, point: Option<LogPoint>) -> bool {
         now < self.applied_at + APPLIED_POSITION_TTL
             && self.applied.is_some_and(|applied| Some(applied) < point)
     }
 
-    /// Tells whether a further request of a route would wait too long for its latency objective although the
-    /// database goes on answering. While it does not, requests wait: what comes next is not known.
+    /// Returns true if a further request of a route would wait too long for its latency objective
+    /// although the database makes progress. Without progress requests wait, because it is not
+    /// known when it resumes.
     pub(crate) fn is_overloaded(&self, now: Micros, route: &RouteConfig) -> bool {
-        let moving = self.command_answered.is_some_and(|at| now < at + PROGRESS_TIMEOUT);
-        if self.peer.is_some() || !moving {
+        let makes_progress = self.last_command_answer.is_some_and(|at| now < at + PROGRESS_TIMEOUT);
+        if self.peer.is_some() || !makes_progress {
             return false;
         }
         let wait = self.queue.expected_wait(now, route.rank);
@@ -245,23 +253,24 @@
         wait + Micros(wait.0 / WAIT_MARGIN_DIVISOR) + service > route.target && wait > service
     }
 
-    /// Returns the time that a further request may expect to take.
+    /// Returns the time that a further request is expected to take.
     pub(crate) fn expected_time(&self, now: Micros) -> Micros {
         Micros(self.latency.value(now).0 * u64::from(self.load() + 1))
     }
 
-    /// Notes an attempt that needs an answer.
-    pub(crate) fn attempt(&mut self, now: Micros) {
-        self.trying_since.get_or_insert(now);
+    /// Records an attempt that needs an answer.
+    pub(crate) fn record_attempt(&mut self, now: Micros) {
+        self.attempt_unanswered_since.get_or_insert(now);
     }
 }
 
-/// Returns the connections that each node may keep open: one if there are fewer than nodes.
+/// Returns the number of connections that each node may keep open: one if there are fewer than
+/// nodes.
 pub(crate) fn steady_share(connections: u32, nodes: u32) -> u32 {
     (connections / STEADY_SHARE_DIVISOR / nodes.max(1)).max(1)
 }
 
-/// What a command on a connection was sent for.
+/// Why a command was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandPurpose {
     Setup,
@@ -270,20 +279,20 @@
     Rollback,
     Report,
     Fence,
-    /// Lifts a fence; the duty is kept until it is answered.
+    /// Lifts a fence. The promotion lease is kept until the command is answered.
     Unfence,
     Demote,
     Control,
 }
 
-/// A command without an answer yet.
+/// A command that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingCommand {
     pub(crate) purpose: CommandPurpose,
     pub(crate) sent: Micros,
 }
 
-/// A connection to a database.
+/// A connection to a database or to another node.
 #[derive(Debug)]
 pub(crate) struct BackendConnection {
     pub(crate) database: Name,
@@ -293,7 +302,7 @@
     pub(crate) pending: VecDeque<PendingCommand>,
     /// The session whose transaction is open here.
     pub(crate) transaction_session: Option<SessionId>,
-    /// The connection's state is in doubt; it is closed once nothing is in flight.
+    /// The connection's state is unknown; it is closed when nothing is in flight.
     pub(crate) close_when_idle: bool,
     pub(crate) used: Micros,
     values: BTreeMap<Name, Name>,
@@ -301,7 +310,7 @@
     prepared_count: u64,
 }
 
-/// Prepared statements that are kept on one connection before it is reset.
+/// Maximum number of prepared statements on one connection; it is reset when it has more.
 const PREPARED_LIMIT: usize = 256;
 
 impl BackendConnection {
@@ -321,12 +330,12 @@
         }
     }
 
-    /// Tells whether a session's values can be set without a reset.
+    /// Returns true if a session's values can be applied without a reset.
     pub(crate) fn can_adopt_without_reset(&self, values: &BTreeMap<Name, Name>) -> bool {
         self.values.keys().all(|name| values.contains_key(name))
     }
 
-    /// Returns the number of values that differ from the session's.
+    /// Returns the number of values to set, with a penalty if a reset is needed.
     pub(crate) fn adoption_cost(&self, values: &BTreeMap<Name, Name>) -> usize {
         let differing = values.iter().filter(|(name, value)| self.values.get(*name) != Some(value));
         let reset = if self.can_adopt_without_reset(values) { 0 } else { values.len() + 1 };
@@ -367,13 +376,13 @@
         name
     }
 
-    /// Tells whether the connection cannot be given the state of any session again: another node has no
-    /// command that clears it.
+    /// Returns true if the connection needs a reset before another session can use it. Another node
+    /// has no command for that.
     pub(crate) fn needs_reset(&self) -> bool {
         !self.values.is_empty() || self.prepared.len() >= PREPARED_LIMIT
     }
 
-    /// Forgets the prepared statements, which the database no longer knows.
+    /// Removes all prepared statements, because the database does not have them any more.
     pub(crate) fn clear_prepared(&mut self) {
         self.prepared.clear();
     }
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -35,9 +35,9 @@
                 database.queue.finish(now, id);
                 continue;
             };
-            let (session, cluster, need) =
-                (request.session, request.route.cluster.clone(), request.need);
-            if need.is_some_and(|need| !self.is_proved(&cluster, name, need)) {
+            let (session, cluster, proof_time) =
+                (request.session, request.route.cluster.clone(), request.proof_time);
+            if proof_time.is_some_and(|proof_time| !self.is_proved(&cluster, name, proof_time)) {
                 // The leader was replaced while the request was queued.
                 self.release_slot(id);
                 self.route_request(id);
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -50,7 +50,7 @@
                     "cluster": database.listed.cluster,
                     "node": database.peer,
                     "leaving": database.listed.leaving,
-                    "listed": database.unlisted.is_none(),
+                    "listed": database.unlisted_since.is_none(),
                     "responsive": database.is_responsive(now),
                     "links": database.connections.len(),
                     "idle_links": database.idle.len(),
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -61,7 +61,7 @@
         let mut missing = 0;
         for name in &replicas {
             let Some(database) = self.databases.get(name) else { continue };
-            if database.reported.is_some_and(|at| at >= started) {
+            if database.last_report_at.is_some_and(|at| at >= started) {
                 continue;
             }
             missing += 1;
@@ -201,7 +201,7 @@
             .max_by_key(|(name, report)| {
                 let database = self.databases.get(*name);
                 let stays = database.is_some_and(|database| {
-                    !database.listed.leaving && database.unlisted.is_none()
+                    !database.listed.leaving && database.unlisted_since.is_none()
                 });
                 (report.received, stays, std::cmp::Reverse((*name).clone()))
             })
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -1,8 +1,8 @@
-//! How requests end: answers, errors, retries, losses and time limits.
+//! How requests end: answers, errors, retries, lost connections and time limits.
 //!
-//! A request is sent again only if the database said that it did not run, or if it is a read outside a
-//! transaction. Nothing of a transaction is kept before its commit was sent, so it can be given up with a
-//! promise until then.
+//! A request is sent again only if the database reported that it did not run, or if it is a read
+//! outside a transaction. A transaction has no effect before its commit was sent; until then it can
+//! be given up with the guarantee that it was rolled back.
 
 use model::{Micros, Name};
 
@@ -16,17 +16,17 @@
 use crate::statement::{ErrorCode, SessionState, StatementAccess};
 use crate::{Gate, fields};
 
-/// Time without an answer after which a read is sent to another database: this many times what the database
-/// usually takes, within the bounds below. An answer can be lost while the connection stays.
+/// A read is sent to another database after this many times the usual latency of its database,
+/// within the bounds below. An answer can be lost while the connection stays open.
 const READ_TIMEOUT_FACTOR: u64 = 6;
 const READ_TIMEOUT_MIN: Micros = Micros::from_millis(120);
 const READ_TIMEOUT_MAX: Micros = Micros::from_millis(400);
 
-/// Pause before a request that a full database refused is sent again: about one statement.
+/// Backoff before a request is sent again that a full database refused: about one statement.
 const BUSY_BACKOFF: Micros = Micros::from_millis(15);
 
 impl Gate {
-    /// Returns the slot that a request holds at its database.
+    /// Releases the slot that a request holds at its database.
     pub(crate) fn release_slot(&mut self, id: WorkId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(database) =
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the slot of a request whose answer is overdue or lost.
+    /// Releases the slot of a request whose answer is overdue or lost.
     pub(crate) fn abandon_slot(&mut self, id: WorkId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(database) =
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Tries a request again that did not run, or a read whose answer is of no use.
+    /// Retries a request that did not run, or a read whose answer is unusable.
     ///
-    /// `cause` is what the database said; the client is told `code` if this was the last try.
+    /// `cause` is the error of the database; the client gets `code` if this was the last try.
     pub(crate) fn retry_request(
         &mut self,
         id: WorkId,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A database said that a request outside an open transaction did not run.
+    /// Handles a database's answer that a request outside an open transaction did not run.
     pub(crate) fn request_declined(&mut self, id: WorkId, code: ErrorCode) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(database) = request.database.clone() else { return };
@@ -146,7 +146,8 @@
                 }
                 self.retry_request(id, None, code, ErrorCode::Busy);
             }
-            // The owner sees all requests of the cluster; another one would send to the same databases.
+            // The owner sees all requests of the cluster; another node would send to the same
+            // databases.
             ErrorCode::Busy
                 if self.is_peer(&database) && self.owners.owners_of(&cluster).is_some() =>
             {
@@ -207,13 +208,14 @@
         }
     }
 
-    /// Takes back a transaction of which no statement has run.
+    /// Makes a transaction pending again if none of its statements has run.
     pub(crate) fn restore_pending_transaction(&mut self, id: WorkId, connection: LinkId) {
         let Some(request) = self.requests.get(&id) else { return };
         let RequestKind::Begin { begin, read_only } = request.kind.clone() else { return };
-        let (session_id, begun, route) = (request.session, request.begun, request.route.clone());
+        let (session_id, started_at, route) =
+            (request.session, request.started_at, request.route.clone());
         if let Some(session) = self.sessions.get_mut(&session_id) {
-            session.transaction = Transaction::Pending { begin, read_only, begun, route };
+            session.transaction = Transaction::Pending { begin, read_only, started_at, route };
         }
         self.release_transaction(connection, session_id);
     }
@@ -256,7 +258,7 @@
         self.reply_success(id, answer);
     }
 
-    /// Passes a successful answer on.
+    /// Replies with a successful answer.
     pub(crate) fn reply_success(&mut self, id: WorkId, answer: BackendAnswer) {
         let AnswerEnd::Done(signature) = answer.end else { return };
         let reply = ClientReply::Done { rows: answer.rows, signature: Some(signature) };
@@ -265,7 +267,7 @@
         self.finish_request(id, reply, "served", commit, point);
     }
 
-    /// Answers a request that failed or is given up, outside an open transaction.
+    /// Replies to a request that failed or was given up, outside an open transaction.
     pub(crate) fn refuse(&mut self, id: WorkId, code: ErrorCode, text: &str) {
         let reply = ClientReply::Failed { code, text: text.to_string() };
         if let Some(request) = self.requests.get(&id)
@@ -278,7 +280,7 @@
         self.finish_request(id, reply, code.name(), false, None);
     }
 
-    /// Answers a statement whose transaction cannot go on. What is open is rolled back.
+    /// Replies to a statement whose transaction cannot continue, and rolls the transaction back.
     pub(crate) fn fail_transaction(&mut self, id: WorkId, code: ErrorCode, text: &str) {
         let Some(request) = self.requests.get(&id) else { return };
         let (session_id, commit) = (request.session, request.is_commit());
@@ -344,7 +346,7 @@
         }
     }
 
-    /// Routes the requests that wait at a database which gives no connection.
+    /// Reroutes the requests queued at a database to which there is no open connection.
     pub(crate) fn reroute_if_unconnected(&mut self, name: &Name) {
         let Some(database) = self.databases.get(name) else { return };
         if database.connections.len() > database.opening as usize {
@@ -353,7 +355,7 @@
         self.reroute_queued_requests(name);
     }
 
-    /// Routes the requests that wait at a database again, to others.
+    /// Reroutes the requests queued at a database to other databases.
     pub(crate) fn reroute_queued_requests(&mut self, name: &Name) {
         let queued: Vec<WorkId> = self
             .requests
@@ -372,18 +374,19 @@
         }
     }
 
-    /// Forgets a request whose client is gone.
+    /// Removes a request whose client is gone.
     pub(crate) fn abandon_request(&mut self, id: WorkId) {
         self.abandon_slot(id);
         self.release_slot(id);
         self.requests.remove(&id);
     }
 
-    /// A connection was lost while the request was on it.
-    pub(crate) fn request_connection_lost(&mut self, id: WorkId, begun: bool) {
+    /// Handles the loss of a connection that a request was sent on. `statement_sent` tells whether the
+    /// statement itself was sent.
+    pub(crate) fn request_connection_lost(&mut self, id: WorkId, statement_sent: bool) {
         self.abandon_slot(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if begun && request.may_take_effect() {
+        if statement_sent && request.may_take_effect() {
             let code = ErrorCode::Unknown;
             let text = "the connection was lost, the outcome is not known";
             if matches!(request.kind, RequestKind::Write) {
@@ -392,7 +395,7 @@
             return self.fail_transaction(id, code, text);
         }
         if matches!(request.kind, RequestKind::Continue)
-            || (begun && matches!(request.kind, RequestKind::Begin { .. }))
+            || (statement_sent && matches!(request.kind, RequestKind::Begin { .. }))
         {
             return self.fail_transaction(id, ErrorCode::Aborted, "the connection was lost");
         }
@@ -400,7 +403,7 @@
         self.retry_request(id, None, ErrorCode::Unknown, ErrorCode::Busy);
     }
 
-    /// Acts on requests whose time is up.
+    /// Resumes requests after their backoff, and ends those whose time limit has passed.
     pub(crate) fn resume_and_expire_requests(&mut self) {
         let now = self.now;
         let due: Vec<WorkId> = self
@@ -421,7 +424,7 @@
                 self.route_request(id);
             }
         }
-        let late: Vec<WorkId> = self
+        let expired: Vec<WorkId> = self
             .requests
             .iter()
             .filter(|(_, request)| {
@@ -431,15 +434,15 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in expired {
             self.request_timed_out(id);
         }
     }
 
-    /// Returns how long a request should wait for its database.
+    /// Returns how long a request waits for its database before it is given up.
     ///
-    /// Another node sends a request again itself and knows its queue, so a second one elsewhere would only
-    /// add to the load. Only its silence counts.
+    /// Another node retries a request itself and knows its queue, so a second request elsewhere
+    /// would only add to the load. Only an unresponsive node ends the wait.
     pub(crate) fn answer_timeout(&self, request: &ActiveRequest) -> Micros {
         let database = request.database.as_ref().and_then(|name| self.databases.get(name));
         if let Some(peer) = database.filter(|database| database.peer.is_some()) {
@@ -451,13 +454,13 @@
 
     pub(crate) fn request_timed_out(&mut self, id: WorkId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let late = self.now >= request.deadline;
+        let deadline_passed = self.now >= request.deadline;
         if request.stage == RequestStage::Sent {
             let connection = request.connection;
             self.record_overdue(id);
             self.abandon_slot(id);
-            self.sent_request_timed_out(id, late);
-            // The answer may still come, or never; the next request must not wait for it.
+            self.sent_request_timed_out(id, deadline_passed);
+            // The answer may come late or never; the next request must not wait for it.
             if let Some(connection) = connection {
                 self.close_connection(connection, "answer overdue");
             }
@@ -479,7 +482,7 @@
         }
     }
 
-    /// Notes that a database owes an answer.
+    /// Records that a database owes an answer.
     pub(crate) fn record_overdue(&mut self, id: WorkId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(sent), Some(name)) = (request.sent, request.database.clone()) else { return };
@@ -494,18 +497,18 @@
             database.latency.observe(now, now.saturating_sub(sent));
         }
         if let Some(database) = self.databases.get_mut(&name)
-            && database.command_answered.is_none_or(|answered| answered < sent)
+            && database.last_command_answer.is_none_or(|answered| answered < sent)
         {
             database.overdue_since.get_or_insert(sent);
         }
     }
 
-    /// Acts on a request whose answer is overdue.
-    pub(crate) fn sent_request_timed_out(&mut self, id: WorkId, late: bool) {
+    /// Handles a request whose answer is overdue. `deadline_passed` tells whether its time limit has passed.
+    pub(crate) fn sent_request_timed_out(&mut self, id: WorkId, deadline_passed: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let unknown = "the time limit passed, the outcome is not known";
         match request.kind {
-            RequestKind::Read if !late => {
+            RequestKind::Read if !deadline_passed => {
                 request.excluded.extend(request.database.clone());
                 self.retry_request(id, None, ErrorCode::Timeout, ErrorCode::Timeout);
             }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -76,7 +76,7 @@
         let mut heard = FastSet::<Name>::default();
         for entry in self.databases.values() {
             let Some(node) = &entry.peer else { continue };
-            if entry.answered.is_some_and(|at| now < at + UNRESPONSIVE_TIMEOUT) {
+            if entry.last_answer.is_some_and(|at| now < at + UNRESPONSIVE_TIMEOUT) {
                 heard.insert(node.clone());
                 let centre = self.registry.get(node).map(|record| record.data_centre.as_str());
                 contacts.hears_other_data_centres |=
@@ -165,7 +165,7 @@
             };
             let mut entry = Database::new(listed);
             entry.peer = Some(node.clone());
-            entry.chosen = self.now;
+            entry.created = self.now;
             self.databases.insert(name.clone(), entry);
         }
         self.count("requests_forwarded");
@@ -226,7 +226,7 @@
             .iter()
             .filter(|(_, entry)| match &entry.peer {
                 Some(node) => {
-                    let used = entry.answered.unwrap_or_default().max(entry.chosen);
+                    let used = entry.last_answer.unwrap_or_default().max(entry.created);
                     let idle = entry.load() == 0 && now >= used + UNUSED_PEER_TTL;
                     idle || self.registry.last_known(node).is_none()
                 }
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests, and the choice of a database for each.
 //!
-//! Writes, transactions that may write, and reads of current data go to the leader. Other reads go to a
-//! replica that holds a proved position which is recent enough, else to the leader.
+//! Writes, transactions that may write, and reads of current data go to the leader. Other reads go
+//! to a replica that holds a sufficiently recent proved position, or else to the leader.
 
 use std::sync::Arc;
 
@@ -12,39 +12,39 @@
 use crate::backend::LogPoint;
 use crate::event::{LinkId, SessionId};
 use crate::route::{Freshness, RouteConfig};
-use crate::session::covered_since;
+use crate::session::coverage_time;
 use crate::statement::{ClientRequest, ErrorCode, Statement, StatementAccess};
 
 pub(crate) use admit::WorkId;
 
-/// Times that one request is sent at most.
+/// Maximum number of times that one request is sent.
 pub(crate) const MAX_TRIES: u32 = 4;
 
-/// Time kept back from a request's limit for the way to the client.
+/// Part of a request's time limit reserved for the way back to the client.
 const REPLY_MARGIN: Micros = Micros::from_millis(20);
 
-/// Time that a request waits for a leader or for proof of one. Another node may be able to serve it, and the
-/// client's tries have to fit into its time.
+/// Time that a request waits for a leader or for proof of one. Another node may be able to serve
+/// it, and the client's retries must fit into its time.
 const HOLD_TIMEOUT: Micros = Micros::from_millis(300);
 
-/// Pause before the owners of a cluster are asked again after none could serve a request: a third of the time
-/// that it is held.
+/// Time before the owners of a cluster are asked again after none could serve a request: a third of
+/// [`HOLD_TIMEOUT`].
 pub(crate) const OWNER_RETRY_INTERVAL: Micros = Micros::from_millis(100);
 
-/// What the client of a request is told that would wait too long.
+/// Error text for a request that would wait too long.
 pub(crate) const OVERLOADED_TEXT: &str = "not run, the database is overloaded, retry after 200 ms";
 
-/// Expected time in percent that a detour from the preferred replica, or to the leader, counts as. The leader is
-/// kept free for what only it can do.
+/// Weight in percent of the expected time at a replica that is not preferred, and of that at the
+/// leader. The leader is kept free for requests that only it can serve.
 const REPLICA_DETOUR_PERCENT: u64 = 150;
 const LEADER_DETOUR_PERCENT: u64 = 250;
 
-/// What a request is within its session.
+/// Role of a request within its session.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestKind {
     Read,
     Write,
-    /// The first statement of a transaction, which has to be opened first.
+    /// The first statement of a transaction, which must be opened first.
     Begin {
         begin: ClientRequest,
         read_only: bool,
@@ -53,14 +53,14 @@
     Continue,
 }
 
-/// Where a request stands.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestStage {
     /// Waits for a leader.
     WaitingForLeader,
     /// Waits for proof that the leader still leads.
     WaitingForProof,
-    /// Waits until it may be tried again.
+    /// Waits until the given time before it is tried again.
     BackingOff(Micros),
     /// Waits for a connection.
     Queued,
@@ -68,7 +68,7 @@
     Sent,
 }
 
-/// One request.
+/// A client's request in progress.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
     pub(crate) session: SessionId,
@@ -78,14 +78,14 @@
     pub(crate) route: Arc<RouteConfig>,
     pub(crate) arrived: Micros,
     /// When the statement, or its transaction, began.
-    pub(crate) begun: Micros,
+    pub(crate) started_at: Micros,
     pub(crate) deadline: Micros,
     pub(crate) stage: RequestStage,
     pub(crate) database: Option<Name>,
     pub(crate) connection: Option<LinkId>,
     pub(crate) after: Option<LogPoint>,
     /// The leader must be proved for this time.
-    pub(crate) need: Option<Micros>,
+    pub(crate) proof_time: Option<Micros>,
     pub(crate) sent: Option<Micros>,
     pub(crate) tries: u32,
     pub(crate) excluded: Vec<Name>,
@@ -96,7 +96,7 @@
         matches!(self.client_request.statement, Statement::Commit)
     }
 
-    /// Tells whether the request may have an effect once it was sent.
+    /// Returns true if the request may have an effect once it was sent.
     pub(crate) fn may_take_effect(&self) -> bool {
         matches!(self.kind, RequestKind::Write) || self.is_commit()
     }
@@ -120,7 +120,7 @@
         access: StatementAccess,
         kind: RequestKind,
         route: Arc<RouteConfig>,
-        begun: Micros,
+        started_at: Micros,
     ) -> WorkId {
         let id = WorkId(self.next_id());
         let request = ActiveRequest {
@@ -129,14 +129,14 @@
             access,
             kind,
             arrived: self.now,
-            begun,
+            started_at,
             deadline: self.now + route.timeout.saturating_sub(REPLY_MARGIN),
             route,
             stage: RequestStage::Queued,
             database: None,
             connection: None,
             after: None,
-            need: None,
+            proof_time: None,
             sent: None,
             tries: 0,
             excluded: Vec::new(),
@@ -151,8 +151,8 @@
         if matches!(request.kind, RequestKind::Continue) {
             return self.continue_transaction(id);
         }
-        let (route, begun, for_leader) =
-            (request.route.clone(), request.begun, request.needs_leader());
+        let (route, started_at, for_leader) =
+            (request.route.clone(), request.started_at, request.needs_leader());
         let writes = matches!(request.kind, RequestKind::Write);
         if let Some(peer) = self.choose_owner(id) {
             return self.queue_at(id, peer, self.required_position(id), None);
@@ -163,7 +163,7 @@
         let Some(cluster) = self.clusters.get(&route.cluster) else {
             return self.refuse(id, self.refusal_code(id), "no database is known for the route");
         };
-        let since = covered_since(route.freshness, begun);
+        let since = coverage_time(route.freshness, started_at);
         if !for_leader
             && let Some(since) = since
             && let Some(point) = cluster.proof.proved_position(since)
@@ -173,7 +173,7 @@
                 return self.queue_at(id, replica, after, None);
             }
         }
-        let need = if writes { None } else { Some(since.unwrap_or(begun)) };
+        let proof_time = if writes { None } else { Some(since.unwrap_or(started_at)) };
         let Some(leader) = self.usable_leader(&route.cluster) else {
             if !self.is_announced(&route.cluster)
                 && let Some(peer) = self.choose_peer(id)
@@ -191,8 +191,8 @@
             return self.refuse(id, self.refusal_code(id), text);
         }
         self.apply_read_lease(&route.cluster);
-        if need.is_none_or(|need| self.is_proved(&route.cluster, &leader, need)) {
-            return self.queue_at(id, leader, None, need);
+        if proof_time.is_none_or(|proof_time| self.is_proved(&route.cluster, &leader, proof_time)) {
+            return self.queue_at(id, leader, None, proof_time);
         }
         if self.read_lease_acquired().is_none()
             && !self.can_request_proof(&route.cluster)
@@ -202,16 +202,16 @@
         }
         if let Some(request) = self.requests.get_mut(&id) {
             request.stage = RequestStage::WaitingForProof;
-            request.need = need;
+            request.proof_time = proof_time;
             request.database = None;
         }
         if let Some(state) = self.clusters.get_mut(&route.cluster) {
             state.waiting_for_proof.push(id);
         }
-        self.request_proof(&route.cluster, need.unwrap_or(begun));
+        self.request_proof(&route.cluster, proof_time.unwrap_or(started_at));
     }
 
-    /// Keeps a request at a node that only forwards until an owner may be able to serve it.
+    /// Holds a request at a node that only forwards until an owner may be able to serve it.
     fn wait_for_owner(&mut self, id: WorkId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -226,12 +226,14 @@
         self.backing_off.push(id);
     }
 
-    /// Returns the code for a request that this node cannot serve: another node is told to go elsewhere.
+    /// Returns the error code for a request that this node cannot serve. Another node is told to go
+    /// elsewhere.
     pub(crate) fn refusal_code(&self, id: WorkId) -> ErrorCode {
         if self.is_forwarded(id) { ErrorCode::Misrouted } else { ErrorCode::Busy }
     }
 
-    /// Returns the position that a read needs for what its session has written, or another node asks for.
+    /// Returns the required position of a read: what its session has written, or what the
+    /// forwarding node requires.
     pub(crate) fn required_position(&self, id: WorkId) -> Option<LogPoint> {
         let request = self.requests.get(&id)?;
         let own = match request.route.freshness {
@@ -240,14 +242,14 @@
             }
             Freshness::Latest | Freshness::Bounded(_) => None,
         };
-        let begun = match &request.kind {
+        let begin_position = match &request.kind {
             RequestKind::Begin { begin, .. } => begin.after,
             RequestKind::Read | RequestKind::Write | RequestKind::Continue => None,
         };
-        own.copied().max(request.client_request.after).max(begun)
+        own.copied().max(request.client_request.after).max(begin_position)
     }
 
-    /// Tells whether a replica could prove that the leader leads.
+    /// Returns true if a replica could provide proof that the leader leads.
     fn can_request_proof(&self, cluster: &Name) -> bool {
         let Some(state) = self.clusters.get(cluster) else { return false };
         let leader = state.proof.leader();
@@ -259,11 +261,11 @@
         })
     }
 
-    pub(crate) fn is_proved(&self, cluster: &Name, database: &Name, need: Micros) -> bool {
-        self.clusters.get(cluster).is_some_and(|state| state.proof.proves(database, need))
+    pub(crate) fn is_proved(&self, cluster: &Name, database: &Name, proof_time: Micros) -> bool {
+        self.clusters.get(cluster).is_some_and(|state| state.proof.proves(database, proof_time))
     }
 
-    /// Returns the leader if requests that need it can be expected to be served.
+    /// Returns the leader if it is expected to serve requests.
     pub(crate) fn usable_leader(&self, cluster: &Name) -> Option<Name> {
         let state = self.clusters.get(cluster)?;
         let replaced = state.announced_term.is_some_and(|term| state.proof.term() > term);
@@ -275,7 +277,7 @@
         database.is_responsive(self.now).then(|| leader.clone())
     }
 
-    /// Chooses the least loaded replica that is known or likely to hold the position.
+    /// Chooses the least loaded replica that holds or probably holds the position.
     fn choose_replica(&self, id: WorkId, cluster: &Name, after: Option<LogPoint>) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let state = self.clusters.get(cluster)?;
@@ -288,7 +290,7 @@
                 || !database.is_usable(self.now)
                 || database.listed.leaving
                 || request.excluded.contains(name)
-                || database.lacks(self.now, after)
+                || database.lacks_position(self.now, after)
                 || database.has_no_connection(self.now)
             {
                 continue;
@@ -314,14 +316,14 @@
         id: WorkId,
         name: Name,
         after: Option<LogPoint>,
-        need: Option<Micros>,
+        proof_time: Option<Micros>,
     ) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(database) = self.databases.get_mut(&name) else { return };
         request.database = Some(name.clone());
         request.after = after;
-        request.need = need;
+        request.proof_time = proof_time;
         request.stage = RequestStage::Queued;
         let ticket = WorkTicket {
             work: id,
@@ -352,7 +354,7 @@
         self.refuse(id, ErrorCode::Busy, text);
     }
 
-    /// Keeps a request until a leader is known.
+    /// Holds a request until a leader is known.
     pub(crate) fn wait_for_leader(&mut self, id: WorkId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -386,18 +388,19 @@
 }
 
 impl ActiveRequest {
-    /// Tells whether the request has waited long enough for a leader or for proof of one.
+    /// Returns true if the request has waited long enough for a leader or for proof of one.
     pub(crate) fn is_hold_expired(&self, now: Micros) -> bool {
         matches!(self.stage, RequestStage::WaitingForLeader | RequestStage::WaitingForProof)
             && now >= self.arrived + HOLD_TIMEOUT
     }
 
-    /// Tells whether a request should be given up here because it can be repeated.
+    /// Returns true if the answer is late and the request can be repeated, so that it should be
+    /// given up here.
     pub(crate) fn should_give_up(&self, now: Micros, answer_timeout: Micros) -> bool {
         let repeatable = match self.kind {
             RequestKind::Read => self.tries < MAX_TRIES - 1,
             RequestKind::Write => false,
-            // Nothing of a transaction is kept before its commit was sent.
+            // A transaction has no effect before its commit was sent.
             RequestKind::Begin { .. } | RequestKind::Continue => !self.is_commit(),
         };
         self.stage == RequestStage::Sent
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -28,7 +28,7 @@
     Pending {
         begin: ClientRequest,
         read_only: bool,
-        begun: Micros,
+        started_at: Micros,
         route: Arc<RouteConfig>,
     },
     Open(OpenTransaction),
@@ -205,9 +205,10 @@
         if self.drain.refuses_transactions(self.now) {
             return self.reply_error(id, ErrorCode::Busy, "not run, this node is shutting down");
         }
-        let begun = self.now;
+        let started_at = self.now;
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.transaction = Transaction::Pending { begin: request, read_only, begun, route };
+            session.transaction =
+                Transaction::Pending { begin: request, read_only, started_at, route };
         }
         self.reply_done(id);
     }
@@ -240,10 +241,10 @@
     fn start_request(&mut self, id: SessionId, request: ClientRequest, access: StatementAccess) {
         let Some(session) = self.sessions.get(&id) else { return };
         let now = self.now;
-        let (kind, route, begun) = match session.transaction.clone() {
+        let (kind, route, started_at) = match session.transaction.clone() {
             Transaction::Open(open) => (RequestKind::Continue, open.route, now),
-            Transaction::Pending { begin, read_only, begun, route } => {
-                (RequestKind::Begin { begin, read_only }, route, begun)
+            Transaction::Pending { begin, read_only, started_at, route } => {
+                (RequestKind::Begin { begin, read_only }, route, started_at)
             }
             Transaction::None | Transaction::Failed => {
                 let Some(route) = self.current_route(id) else { return };
@@ -254,7 +255,7 @@
                 (kind, route, now)
             }
         };
-        let request_id = self.create_request(id, request, access, kind, route, begun);
+        let request_id = self.create_request(id, request, access, kind, route, started_at);
         if let Some(session) = self.sessions.get_mut(&id) {
             session.active_request = Some(request_id);
         }
@@ -322,11 +323,11 @@
     }
 }
 
-/// Returns the time that data must cover for a request that began at `begun`, or `None` if only the
+/// Returns the time that data must cover for a request that began at `started_at`, or `None` if only the
 /// leader's current data will do.
-pub(crate) fn covered_since(freshness: Freshness, begun: Micros) -> Option<Micros> {
+pub(crate) fn coverage_time(freshness: Freshness, started_at: Micros) -> Option<Micros> {
     match freshness {
         Freshness::Latest => None,
-        Freshness::Bounded(age) | Freshness::Session(age) => Some(begun.saturating_sub(age)),
+        Freshness::Bounded(age) | Freshness::Session(age) => Some(started_at.saturating_sub(age)),
     }
 }
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -52,7 +52,7 @@
         let replica_heard = state.members.iter().any(|name| {
             Some(name) != leader.as_ref()
                 && self.databases.get(name).is_some_and(|database| {
-                    database.answered.is_some_and(|at| now < at + REPLICA_CONTACT_TIMEOUT)
+                    database.last_answer.is_some_and(|at| now < at + REPLICA_CONTACT_TIMEOUT)
                 })
         });
         if !replica_heard || !self.has_stable_contact() {
@@ -92,7 +92,7 @@
         let needs_report = |name: &Name| {
             self.databases.get(name).is_some_and(|database| {
                 database.report_requested_at.is_none()
-                    && database.answered.is_none_or(|at| now >= at + SUSPICION_PROBE_DELAY)
+                    && database.last_answer.is_none_or(|at| now >= at + SUSPICION_PROBE_DELAY)
             })
         };
         if !needs_report(leader)
