--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -1,4 +1,4 @@
-//! What a gate asks its shell to do.
+//! Actions that a gate requests from the I/O driver.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,8 @@
 /// Answer to a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientReply {
-    /// Rows and the database's signature, or neither for statements that the proxy answers itself.
+    /// Rows and the database's signature; both are empty for statements that the proxy answers
+    /// itself.
     Done {
         rows: Vec<Bytes>,
         signature: Option<Bytes>,
@@ -23,14 +24,14 @@
     },
 }
 
-/// An action; the shell carries actions out in order.
+/// An action; the I/O driver executes actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GateAction {
     // Clients.
     AcceptSession {
         session: SessionId,
     },
-    /// Send the error and close.
+    /// Send the error and close the session.
     RefuseSession {
         session: SessionId,
         code: ErrorCode,
@@ -57,21 +58,22 @@
     CloseLink {
         link: LinkId,
     },
-    /// Send commands; each is answered in order.
+    /// Send commands; they are answered in order.
     Send {
         link: LinkId,
         commands: Vec<BackendCommand>,
     },
 
     // The platform.
-    /// Write the duty's document if its revision is still `expected` (0: it does not exist).
+    /// Write the promotion lease document if its revision is still `expected`; 0 means that it must
+    /// not exist.
     WriteDuty {
         attempt: u64,
         expected: u64,
         bytes: Vec<u8>,
     },
-    /// Publish this node's registration; if it had another role, that registration ends. `registration`
-    /// numbers its changes of role.
+    /// Publish this node's registration. If it had another role, the registration in that role
+    /// ends. `registration` is the number of the current role change.
     PublishNode {
         role: NodeRole,
         registration: u64,
@@ -103,21 +105,21 @@
         counter: &'static str,
         amount: u64,
     },
-    /// Time from a request's arrival to its reply.
+    /// Record a sample in a histogram, such as the time from a request's arrival to its reply.
     Observe {
         histogram: &'static str,
         micros: u64,
     },
 }
 
-/// A structured log line.
+/// A structured log record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogRecord {
     pub event: &'static str,
     pub fields: Vec<(&'static str, LogValue)>,
 }
 
-/// A value of a log line.
+/// A value in a log record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogValue {
     Text(Name),
--- a/crates/gate/src/backend.rs
+++ b/crates/gate/src/backend.rs
@@ -1,4 +1,4 @@
-//! What passes between the core and a database: commands, answers, reports.
+//! Protocol between the core and a database: commands, answers and reports.
 
 use bytes::Bytes;
 use model::{DatabaseRole, Micros, Name, Term};
@@ -21,20 +21,20 @@
 /// A command to a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendCommand {
-    /// A client's statement, unchanged. With `after`, only on a log that holds this position.
+    /// A client's statement, unchanged. With `after`, it runs only if the log holds this position.
     Run {
         id: Name,
         text: Name,
         after: Option<LogPoint>,
     },
-    /// A client's execution of a prepared statement, by this proxy's name for it.
+    /// Execution of a client's prepared statement under this proxy's name for it.
     Execute {
         id: Name,
         prepared: Name,
         arguments: Name,
         after: Option<LogPoint>,
     },
-    /// Ends the open transaction without keeping anything.
+    /// Ends the open transaction without effect.
     Rollback,
     /// Clears session values and prepared statements.
     Reset,
@@ -47,9 +47,10 @@
         access: StatementAccess,
         shape: Name,
     },
-    /// Asks for a report.
+    /// Requests a report.
     Report,
-    /// Stops a replica from receiving log until a change of primary; answered with a report.
+    /// Stops a replica from receiving the log until a new primary is promoted; answered with a
+    /// report.
     Fence {
         term: Term,
     },
@@ -69,7 +70,7 @@
     pub state: SessionState,
     /// Log position that the database has applied.
     pub point: Option<LogPoint>,
-    /// Set for answers to commands that ask for a report.
+    /// Set for answers to commands that request a report.
     pub report: Option<DatabaseReport>,
 }
 
@@ -84,7 +85,7 @@
     },
 }
 
-/// What a database reports of itself.
+/// A database's report of its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatabaseReport {
     pub role: DatabaseRole,
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown.
 //!
-//! The node reports that it is not ready at once and goes on serving, since the platform's balancer needs
-//! two probes to take it out. Then it closes sessions between requests, ends open transactions by half of
-//! the time that it has, and exits once the last session is closed.
+//! The node reports at once that it is not ready but goes on serving, because the platform's load
+//! balancer needs two probes to remove it. Then it closes idle sessions, ends open transactions by
+//! half of the grace period, and exits when the last session is closed.
 
 use model::Micros;
 
@@ -10,10 +10,11 @@
 use crate::statement::SessionState;
 use crate::{Gate, GateAction, fields};
 
-/// Time after which the balancer has taken the node out: two probes, a second apart, and one interval.
+/// Time after which the load balancer has removed the node: two probes, a second apart, and one
+/// interval.
 const BALANCER_REMOVAL_DELAY: Micros = Micros::from_millis(2_300);
 
-/// Time kept back for exiting.
+/// Part of the grace period reserved for exiting.
 const EXIT_MARGIN: Micros = Micros::from_millis(500);
 
 /// Progress of a shutdown.
@@ -25,7 +26,7 @@
 }
 
 impl DrainState {
-    /// Tells whether new transactions would not have the time to end.
+    /// Returns true if new transactions would not have enough time to end.
     pub(crate) fn refuses_transactions(&self, now: Micros) -> bool {
         self.since.is_some_and(|since| now >= since + Micros(self.grace.0 / 2))
     }
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -1,14 +1,14 @@
-//! The state dump.
+//! State dump for operators.
 
 use serde_json::{Value, json};
 
 use crate::Gate;
 
-/// Rows of each table in the dump.
+/// Maximum number of databases in the dump.
 const DUMP_ROWS: usize = 200;
 
 impl Gate {
-    /// Returns what the gate believes and holds, for operators.
+    /// Returns the gate's current state, for operators.
     ///
     /// ```
     /// # let settings = gate::GateSettings {
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a gate.
+//! Events that the I/O driver passes to a gate.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::route::RouteTable;
 use crate::statement::{ClientRequest, ErrorCode};
 
-/// A client's session.
+/// Identifier of a client's session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
@@ -20,28 +20,28 @@
     Peer,
 }
 
-/// A connection to a database.
+/// Identifier of a connection to a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// A backend server as the platform lists it.
+/// A backend server as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedDatabase {
     pub id: Name,
     pub cluster: Name,
     pub address: SocketAddr,
     pub data_centre: Name,
-    /// Statements that execute at once.
+    /// Statements that it executes concurrently.
     pub slots: u32,
     pub leaving: bool,
-    /// The role that it believes to have; a replaced primary may still claim to lead.
+    /// The role that it claims to have; a replaced primary may still claim to lead.
     pub claimed_role: Option<DatabaseRole>,
 }
 
 /// A document that this project keeps in the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Document {
-    /// Holder of the promotion duty.
+    /// The promotion lease.
     Duty,
     /// Number of nodes of a large deployment.
     Fleet,
@@ -49,13 +49,13 @@
     Node(NodeRole, Name),
 }
 
-/// What a node is registered as.
+/// The role that a node is registered in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum NodeRole {
-    /// Forwards every request. Changes of primary need not wait for it.
+    /// Forwards every request. Failovers do not wait for it.
     #[default]
     Standby,
-    /// Owns connections; its lease is its read permit.
+    /// Owns connections; the lease of its registration is its read lease.
     Owner,
 }
 
@@ -64,7 +64,7 @@
 pub struct StoredDocument {
     pub document: Document,
     pub revision: u64,
-    /// The lease that it depends on, zero without one.
+    /// The store's lease that the document depends on, zero without one.
     pub lease: u64,
     pub bytes: Vec<u8>,
 }
@@ -80,11 +80,11 @@
     Failed,
 }
 
-/// Answer of the platform to a promotion call.
+/// The platform's answer to a promotion call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromoteResult {
     Accepted,
-    /// The platform says that this database cannot be promoted.
+    /// This database cannot be promoted, according to the platform.
     Rejected,
     /// No answer, or a refusal for another reason.
     Failed,
@@ -97,7 +97,7 @@
     pub documents: Vec<StoredDocument>,
 }
 
-/// An event, in the order in which the shell saw it.
+/// An event; the I/O driver passes events in the order in which it saw them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GateEvent {
     // Clients.
@@ -106,7 +106,7 @@
         database: Name,
         origin: SessionOrigin,
     },
-    /// The next request; the shell sends one at a time.
+    /// The next request; the I/O driver passes one at a time.
     RequestArrived {
         session: SessionId,
         request: ClientRequest,
@@ -135,7 +135,7 @@
 
     // The platform.
     RoutesChanged(Box<RouteTable>),
-    /// All databases that are listed now.
+    /// All databases that are currently listed.
     DatabasesListed(Vec<ListedDatabase>),
     DatabaseChanged(ListedDatabase),
     /// The entry is gone or unusable.
@@ -150,7 +150,8 @@
         attempt: u64,
         result: WriteResult,
     },
-    /// The current state that a promotion asked for; `None` if the store did not answer.
+    /// The current state that [`GateAction::ReadState`](crate::GateAction::ReadState) requested;
+    /// `None` if the store did not answer.
     StateRead {
         state: Option<StoreState>,
     },
@@ -159,23 +160,23 @@
         node: Name,
         ended: bool,
     },
-    /// This node's registration of this number as an owner is stored, and its lease was renewed by a call
-    /// sent at `sent`.
+    /// This node's registration with this number, as an owner, is stored, and its lease was renewed
+    /// by a call sent at `sent`.
     PermitRenewed {
         sent: Micros,
         registration: u64,
     },
-    /// The same of its registration as a standby.
+    /// As `PermitRenewed`, for its registration as a standby.
     ContactRenewed {
         sent: Micros,
     },
-    /// The lease is gone; a new one is acquired with the next renewal.
+    /// The lease is gone; the next renewal acquires a new one.
     PermitLost,
     PromoteAnswered {
         cluster: Name,
         result: PromoteResult,
     },
-    /// The store answers again, or no longer does.
+    /// The store answers again, or has stopped answering.
     StoreReachable(bool),
 
     // The process.
@@ -183,7 +184,7 @@
     Timer,
 }
 
-/// Rank of a route's numeric priority, 0 being the most urgent.
+/// Returns the rank of a route's numeric priority, 0 being the most urgent.
 pub fn rank_of_priority(priority: u64) -> Rank {
     match priority {
         0 => Rank::Urgent,
--- a/crates/gate/src/fleet.rs
+++ b/crates/gate/src/fleet.rs
@@ -1,8 +1,9 @@
 //! The number of nodes of a large deployment, kept in the store.
 //!
-//! After all VMs lost power, or when the store has let the leases of all nodes lapse, the registrations come back
-//! one by one. A node that took the first few for the whole deployment would own connections to every database,
-//! as each would. With the number of nodes known, the owners are chosen when most of them are registered.
+//! After all VMs lost power, or when the leases of all nodes have expired in the store, the
+//! registrations come back one by one. A node that mistook the first few for the whole deployment
+//! would own connections to every database, and so would every other node. With the number of nodes
+//! known, the owners are chosen when most nodes are registered.
 
 use model::Micros;
 use serde::{Deserialize, Serialize};
@@ -12,18 +13,18 @@
 use crate::owners::FEW_NODES;
 use crate::{Gate, fields};
 
-/// Part of the known nodes that has to be registered. The loss of a data centre and a rolling restart at the same
-/// time leave more.
+/// Percentage of the known nodes that must be registered. The loss of a data centre during a
+/// rolling restart leaves more.
 const COMPLETE_PERCENT: u32 = 50;
 
-/// Part by which the number has to differ from the stored one.
+/// Percentage by which the number must differ from the stored one to be stored.
 const COUNT_CHANGE_PERCENT: u32 = 20;
 
-/// Time that the others get to register; after it they count as gone. The time to live of a registration, and
-/// within the users' shortest bound of a recovery (12 s).
+/// Time that the other nodes get to register; after it they count as gone. It is the time to live
+/// of a registration, and shorter than the users' shortest limit for a recovery (12 s).
 const REGISTRATION_TIMEOUT: Micros = Micros::from_millis(3_000);
 
-/// Time for which the number has to differ before it is stored: longer than a restart.
+/// Time for which the number must differ before it is stored: longer than a restart.
 const COUNT_CHANGE_DELAY: Micros = Micros::from_millis(5_000);
 
 /// The stored record.
@@ -32,22 +33,22 @@
     pub nodes: u32,
 }
 
-/// What is known of the number of nodes.
+/// What is known about the number of nodes.
 #[derive(Debug, Default)]
 pub(crate) struct FleetState {
     known: u32,
-    /// Since when fewer nodes than known are registered.
+    /// Since when fewer nodes than known have been registered.
     incomplete_since: Option<Micros>,
     differs: Option<Micros>,
 }
 
 impl FleetState {
-    /// Tells whether the store holds the number of nodes.
+    /// Returns true if the store contains the number of nodes.
     pub(crate) fn is_known(&self) -> bool {
         self.known > 0
     }
 
-    /// Tells whether more nodes are expected to register soon.
+    /// Returns true if more nodes are expected to register soon.
     fn awaits_nodes(&mut self, now: Micros, live: u32) -> bool {
         let complete = live * 100 >= self.known * COMPLETE_PERCENT;
         if self.known as usize <= FEW_NODES || complete {
@@ -60,7 +61,7 @@
 }
 
 impl Gate {
-    /// Takes in the stored record.
+    /// Processes the stored record.
     pub(crate) fn fleet_record_read(&mut self, record: FleetRecord) {
         self.fleet.known = record.nodes;
     }
@@ -70,7 +71,7 @@
         self.fleet.awaits_nodes(self.now, live)
     }
 
-    /// Ends the wait for nodes, and stores their number if it has changed for long. One node does.
+    /// Ends the wait for nodes. One node stores their number if it has differed for long enough.
     pub(crate) fn maintain_fleet_count(&mut self) {
         let now = self.now;
         if self.fleet.incomplete_since.is_some() {
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,13 +1,20 @@
-//! The core of a node on the platform: sessions, routing, evidence, connections, changes of primary.
+//! The decision core of a node on the platform: sessions, routing, leadership proofs, connections
+//! and failovers.
 //!
-//! [`Gate`] is a state machine without clock, socket or thread. The shell passes it [`GateEvent`]s with the
-//! time and carries out the [`GateAction`]s. All time is one clock that also counts while the VM is
-//! suspended, since proofs and the promotion duty depend on it.
+//! [`Gate`] is a state machine without clock, socket or thread. The I/O driver passes it
+//! [`GateEvent`]s with the time and executes its [`GateAction`]s. All times come from one clock
+//! that also counts while the VM is suspended, because proofs and the promotion lease depend on it.
 //!
-//! The modules: `session` for clients; `work`, `dispatch` and `outcome` for the way of one request; `owners` and `peer` for
-//! forwarding; `link` and `database` for connections; `cluster`, `evidence` and `permit` for what is known of
-//! primaries; `registration`, `roster` and `fleet` for the nodes; `suspicion`, `takeover`, `fencing` and `duty` for changing them; `ready` and `drain` for
-//! what the balancer sees.
+//! Modules:
+//!
+//! - `session`: clients
+//! - `request`, `dispatch`, `outcome`: the path of one request
+//! - `owners`, `peer`: forwarding
+//! - `connection`, `database`: connections
+//! - `cluster`, `leadership_proof`, `read_lease`: what is known about primaries
+//! - `registration`, `registry`, `fleet`: the nodes
+//! - `suspicion`, `failover`, `fencing`, `promotion_lease`: the replacement of primaries
+//! - `ready`, `drain`: what the load balancer sees
 
 mod action;
 mod backend;
@@ -74,7 +81,7 @@
 use request::{ActiveRequest, WorkId};
 use session::Session;
 
-/// Builds the fields of a log line.
+/// Builds the fields of a log record.
 macro_rules! fields {
     ($($name:expr => $value:expr),* $(,)?) => {
         vec![$(($name, $crate::LogValue::from($value))),*]
@@ -82,11 +89,11 @@
 }
 pub(crate) use fields;
 
-/// Interval of [`GateEvent::Timer`]. Time limits are met to within this; it is a fifth of the shortest
-/// latency objective of the configurations.
+/// Interval of [`GateEvent::Timer`] and thus the precision of all time limits: a fifth of the
+/// shortest latency objective in the configurations.
 pub const TICK: Micros = Micros::from_millis(20);
 
-/// The decisions of one process.
+/// The decision core of one process.
 #[derive(Debug)]
 pub struct Gate {
     settings: GateSettings,
@@ -159,8 +166,8 @@
         }
     }
 
-    /// Handles an event at the time `now`, which never goes back, and appends what the shell has to do
-    /// to `actions`, in order.
+    /// Handles an event at the time `now`, which never goes back, and appends the actions for the
+    /// I/O driver to `actions`, in order.
     pub fn handle(&mut self, now: Micros, event: GateEvent, actions: &mut Vec<GateAction>) {
         self.now = self.now.max(now);
         self.started = self.started.min(self.now);
@@ -288,7 +295,7 @@
         }
     }
 
-    /// Reads a stored record; one that cannot be read counts as an empty one.
+    /// Deserializes a stored record; an unreadable one counts as empty.
     fn read_record<T: Default + DeserializeOwned>(
         &mut self,
         document: &'static str,
@@ -304,7 +311,7 @@
         }
     }
 
-    /// Returns a record as it is stored.
+    /// Serializes a record for the store.
     fn write_record<T: Serialize>(
         &mut self,
         document: &'static str,
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -1,9 +1,10 @@
 //! Forwarding to other nodes.
 //!
-//! A node forwards a request that it cannot serve itself: it reaches no primary or no proof of one, the
-//! databases give it no connection, or there are many nodes and others own the connections. Another node
-//! is used like a database: it takes the same commands, holds the session's state on the connection, and
-//! answers with the position of commits. It never forwards again, and refuses at once what it cannot serve.
+//! A node forwards a request that it cannot serve itself: it reaches no primary or no proof of one,
+//! the databases give it no connection, or the deployment is large and other nodes own the
+//! connections. Another node is used like a database: it takes the same commands, keeps the
+//! session's state on the connection, and answers with the position of commits. It never forwards
+//! such a request again, and refuses at once what it cannot serve.
 
 use model::{FastMap, FastSet, Micros, Name};
 
@@ -12,20 +13,20 @@
 use crate::event::{ListedDatabase, NodeRole, SessionOrigin};
 use crate::request::{OWNER_RETRY_INTERVAL, WorkId};
 
-/// Time for which a node that could not serve requests of a cluster is not asked again, where every node is an
-/// owner.
+/// Time for which a node that refused requests of a cluster gets no more of them, where every node
+/// is an owner.
 const PEER_REFUSAL_TTL: Micros = Micros::from_millis(300);
 
-/// Time after which an unused entry of a node is removed.
+/// Time after which the entry of an unused node is removed.
 const UNUSED_PEER_TTL: Micros = Micros::from_millis(5_000);
 
-/// Statements that another node is expected to run at once for this one.
+/// Statements that another node is expected to execute concurrently for this node.
 const PEER_SLOTS: u32 = 3;
 
-/// Requests in progress that a node of another data centre counts as having more.
+/// Requests that are added to the load of a node in another data centre when nodes are compared.
 const REMOTE_PEER_LOAD_PENALTY: u32 = 2;
 
-/// What is known of other nodes.
+/// What is known about other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct PeerState {
     /// When a node last refused requests of a cluster.
@@ -35,23 +36,22 @@
 /// Which nodes answer.
 #[derive(Debug, Default)]
 pub(crate) struct PeerContacts {
-    /// Nodes that owe answers for long.
+    /// Nodes whose answers are long overdue.
     silent: FastSet<Name>,
-    /// Nodes of other data centres answer.
+    /// At least one node of another data centre answers.
     hears_other_data_centres: bool,
 }
 
 impl PeerContacts {
-    /// Tells whether this node is probably cut off from the other data centres: several nodes are silent, and
-    /// none of another data centre answers.
+    /// Returns true if this node is probably cut off from the other data centres: several nodes are
+    /// silent, and none of another data centre answers.
     pub(crate) fn is_isolated(&self) -> bool {
         self.silent.len() >= 2 && !self.hears_other_data_centres
     }
 }
 
 impl Gate {
-    /// Tells whether requests of a cluster can be expected to be served, here or by a node that owns
-    /// connections.
+    /// Returns true if requests of the cluster are expected to be served, here or by an owner.
     pub(crate) fn reaches_cluster(&self, cluster: &Name, contacts: &PeerContacts) -> bool {
         if self.owns_connections(cluster) && self.usable_leader(cluster).is_some() {
             return true;
@@ -69,7 +69,7 @@
             })
     }
 
-    /// Returns which nodes answer what this one sends them.
+    /// Returns which nodes answer this node.
     pub(crate) fn peer_contacts(&self) -> PeerContacts {
         let now = self.now;
         let mut contacts = PeerContacts::default();
@@ -96,7 +96,7 @@
             .is_some_and(|session| session.origin == SessionOrigin::Peer)
     }
 
-    /// Chooses a node that comes before this one among the owners of the request's cluster.
+    /// Chooses a node that precedes this one among the owners of the request's cluster.
     pub(crate) fn choose_owner(&mut self, id: WorkId) -> Option<Name> {
         let cluster = &self.requests.get(&id)?.route.cluster;
         let owners = self.owners.owners_of(cluster)?;
@@ -172,12 +172,12 @@
         Some(name)
     }
 
-    /// Tells whether an entry stands for a node.
+    /// Returns true if an entry stands for a node.
     pub(crate) fn is_peer(&self, entry: &Name) -> bool {
         self.databases.get(entry).is_some_and(|database| database.peer.is_some())
     }
 
-    /// Notes that the node of an entry cannot serve a cluster.
+    /// Records that the node of an entry cannot serve a cluster.
     pub(crate) fn peer_refused(&mut self, entry: &Name, cluster: &Name) {
         let node = self.databases.get(entry).and_then(|database| database.peer.clone());
         if let Some(node) = node {
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Probes nodes that owe answers, so that a node that waits is told from one that is gone.
+    /// Probes nodes that owe answers, to distinguish a node whose requests wait from one that is
+    /// gone.
     fn probe_peers(&mut self) {
         let now = self.now;
         let probed: Vec<Name> = self
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Sends what waits for a node that answers nothing to others.
+    /// Reroutes the requests that wait for unresponsive nodes.
     fn reroute_from_silent_peers(&mut self) {
         let now = self.now;
         let silent: Vec<Name> = self
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Removes the entries of nodes that are gone or were not used for a while.
+    /// Probes and updates the entries of nodes, and removes those that are gone or unused.
     pub(crate) fn maintain_peers(&mut self) {
         let now = self.now;
         self.probe_peers();
@@ -241,7 +242,7 @@
     }
 }
 
-/// Names the entry of a node for one client database.
+/// Returns the name of a node's entry for one client database.
 fn entry_name(node: &Name, client_database: &Name) -> Name {
     Name::from(format!("{node}/{client_database}"))
 }
--- a/crates/gate/src/ready.rs
+++ b/crates/gate/src/ready.rs
@@ -1,30 +1,31 @@
-//! Readiness: whether the balancer should send clients here.
+//! Readiness: whether the load balancer should send clients to this node.
 //!
-//! A node that cannot reach the primaries says so, and closes sessions between requests, so that clients
-//! come back through the balancer to a node that can.
+//! A node that cannot reach the primaries reports that it is not ready and closes idle sessions, so
+//! that clients reconnect through the load balancer to a node that can.
 
 use model::Micros;
 
 use crate::{Gate, GateAction, fields};
 
-/// Time without the primaries after which a node is not ready: longer than a change of primary.
+/// Time without the primaries after which a node is not ready: longer than a failover.
 const UNREACHABLE_GRACE: Micros = Micros::from_millis(1_500);
 
-/// The same for a node that has lost the store or the other data centres too, and so is itself cut off.
+/// As [`UNREACHABLE_GRACE`], for a node that has also lost the store or the other data centres and
+/// so is itself cut off.
 const ISOLATED_GRACE: Micros = Micros::from_millis(200);
 
-/// Time after which a node that is not ready closes idle sessions: the balancer's two probes have taken it
-/// out by then.
+/// Time after which a node that is not ready closes idle sessions. Two probes of the load balancer
+/// have removed it by then.
 const CLOSE_SESSIONS_DELAY: Micros = Micros::from_millis(2_100);
 
-/// Readiness of a node.
+/// Readiness of this node.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyState {
     ready: bool,
     announced: bool,
-    /// Since when most primaries are not usable.
+    /// Since when most primaries have been unusable.
     unreachable_since: Option<Micros>,
-    /// Since when the node is not ready.
+    /// Since when the node has not been ready.
     unready_since: Option<Micros>,
 }
 
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -1,9 +1,9 @@
 //! This node's registration in the store.
 //!
-//! A node that owns connections registers under a lease that is its read permit, and changes of primary wait for
-//! its acknowledgement. A node that only forwards registers apart, renews more rarely, and nobody waits for it.
-//! The two registrations are different documents under different leases, so a write that takes effect late
-//! cannot make an owner look like a standby.
+//! An owner registers under a lease that is its read lease, and failovers wait for its
+//! acknowledgement. A standby registers separately and renews less often, and no failover waits for
+//! it. The two registrations are different documents under different leases, so a write that takes
+//! effect late cannot make an owner look like a standby.
 
 use std::collections::BTreeSet;
 
@@ -14,14 +14,15 @@
 use crate::registry::NodeRecord;
 use crate::{Gate, fields};
 
-/// Least time between two publications of this node's registration.
+/// Minimum time between two publications of this node's registration.
 const PUBLISH_INTERVAL: Micros = Micros::from_millis(150);
 
-/// Time after the first list for which a node that found no other stays a standby. Nodes that start together
-/// register meanwhile; otherwise each of many would own connections for a moment.
+/// Time after the first list for which a node that found no other stays a standby. Nodes that start
+/// together register in this time; otherwise each of many nodes would briefly own connections.
 const STARTUP_GRACE: Micros = Micros::from_millis(1_000);
 
-/// Time after which an owner of connections registers as one although it knows no primary: others may not either.
+/// Time after which an owner registers as one although it knows no primary, because the other nodes
+/// may not know one either.
 const WARM_UP_TIMEOUT: Micros = Micros::from_millis(500);
 
 /// What this node last published.
@@ -30,23 +31,23 @@
     record: Option<NodeRecord>,
     published: Micros,
     pub(crate) role: NodeRole,
-    /// Counts the changes of role, so that renewals of an ended registration are told apart.
+    /// Counts the changes of role, to recognize renewals of an ended registration.
     pub(crate) number: u64,
-    /// Since when this node owns connections.
+    /// Since when this node has owned connections.
     owning: Option<Micros>,
-    /// When the list of nodes was first read, and whether it named others.
+    /// When the list of nodes was first read, and whether it contained others.
     pub(crate) listed: Option<(Micros, bool)>,
 }
 
 impl Gate {
-    /// Notes that the list of nodes was read.
+    /// Records that the list of nodes was read.
     pub(crate) fn nodes_listed(&mut self) {
         let others = self.registry.others().next().is_some();
         self.registration.listed.get_or_insert((self.now, others));
         self.update_owners();
     }
 
-    /// Publishes the registration if it has changed.
+    /// Updates the role, and publishes the registration if it has changed.
     pub(crate) fn maintain_registration(&mut self, suspected_clusters: BTreeSet<String>) {
         let now = self.now;
         let Some((listed, others)) = self.registration.listed else { return };
@@ -54,7 +55,7 @@
         let owns = self.table.clusters.keys().any(|cluster| self.owns_connections(cluster));
         let warm = self.registration.role == NodeRole::Owner || self.is_warmed_up();
         let role = match self.registration.role {
-            // What is in flight still needs the permit.
+            // Requests in flight still need the read lease.
             role if self.drain.since.is_some() => role,
             _ if owns && settled && warm => NodeRole::Owner,
             _ => NodeRole::Standby,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Tells whether this node can serve most clusters that it owns connections of, or has tried for long.
+    /// Returns true if this node can serve most of the clusters that it owns, or has tried for long
+    /// enough.
     fn is_warmed_up(&mut self) -> bool {
         let owned = self.table.clusters.keys().filter(|cluster| self.owns_connections(cluster));
         let (mut count, mut usable) = (0, 0);
@@ -90,7 +92,7 @@
         usable * 2 > count || self.now >= since + WARM_UP_TIMEOUT
     }
 
-    /// Publishes the registration now, as it acknowledges an announcement.
+    /// Publishes the registration immediately to acknowledge an announcement.
     pub(crate) fn acknowledge_announcement(&mut self) {
         let last = self.registration.record.as_ref();
         if let Some(suspected_clusters) = last.map(|record| record.suspected_clusters.clone())
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -1,8 +1,8 @@
-//! Nodes of the system and which clusters they find without a working primary.
+//! The registered nodes, and the clusters whose primaries they suspect.
 //!
-//! Each node registers itself in the store. The registration tells how many nodes share the databases'
-//! connections, and carries the node's complaints, so that one node's own trouble does not move a primary
-//! that the others reach.
+//! Each node registers itself in the store. The number of registrations determines each node's
+//! share of the databases' connections. A registration also carries the node's suspicions, so that
+//! trouble of one node alone does not replace a primary that the other nodes reach.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,8 @@
 
 use crate::event::NodeRole;
 
-/// Time for which the record of a node that left is kept: longer than its owners are kept after a lapse.
+/// Time for which the record of a node that left is kept: longer than its owners are kept after its
+/// registration expired.
 const FORMER_NODE_TTL: Micros = Micros::from_millis(10_000);
 
 /// A node's registration.
@@ -25,18 +26,18 @@
     /// Clusters whose primary the node cannot use.
     #[serde(rename = "complaints")]
     pub suspected_clusters: BTreeSet<String>,
-    /// Revision of the newest announcement of changes that the node acts on.
+    /// Revision of the newest announcement of failovers that the node acts on.
     #[serde(default, rename = "seen")]
     pub acknowledged: u64,
-    /// Where the node takes forwarded requests.
+    /// Address for forwarded requests.
     #[serde(default)]
     pub peer_address: Option<SocketAddr>,
     #[serde(default)]
     pub data_centre: String,
-    /// It shuts down and takes no more work of others.
+    /// The node is shutting down and takes no more requests of other nodes.
     #[serde(default)]
     pub leaving: bool,
-    /// Processor share of its VM, in thousandths of a core.
+    /// Processor share of the node's VM, in thousandths of a core.
     #[serde(default)]
     pub capacity: u32,
 }
@@ -45,17 +46,18 @@
 #[derive(Debug)]
 pub(crate) struct NodeRegistry {
     own: Name,
-    /// Nodes that may hold a permit.
+    /// Nodes that may hold a read lease.
     owners: FastMap<Name, NodeRecord>,
     standbys: FastMap<Name, NodeRecord>,
-    /// When owners were last seen to leave; they may still hold a permit.
+    /// When an owner was last seen to leave; it may still hold a read lease.
     last_departure: Option<Micros>,
-    /// Last records of nodes that left, and when. Their leases may have ended while they run.
+    /// Last records of nodes that left, and when they left. Their leases may have ended while they
+    /// run.
     former_nodes: FastMap<Name, (Micros, NodeRecord)>,
 }
 
 impl NodeRegistry {
-    /// Creates a roster that knows only this node.
+    /// Creates a registry that knows only this node.
     pub fn new(own: Name) -> Self {
         NodeRegistry {
             own,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Takes in a registration.
+    /// Adds or replaces a registration.
     pub fn set(&mut self, role: NodeRole, node: Name, record: NodeRecord) {
         let nodes = match role {
             NodeRole::Owner => &mut self.owners,
@@ -94,7 +96,7 @@
         self.former_nodes.retain(|_, (left, _)| now < *left + FORMER_NODE_TTL);
     }
 
-    /// Removes the registrations that a list does not name.
+    /// Removes the registrations that are not in the list.
     pub fn retain(&mut self, now: Micros, listed: &FastSet<(NodeRole, Name)>) {
         let owners = self.owners.keys().map(|name| (NodeRole::Owner, name.clone()));
         let standbys = self.standbys.keys().map(|name| (NodeRole::Standby, name.clone()));
@@ -104,12 +106,12 @@
         }
     }
 
-    /// Returns when a node last left.
+    /// Returns when an owner last left.
     pub fn last_departure(&self) -> Option<Micros> {
         self.last_departure
     }
 
-    /// Returns the number of nodes, this one included.
+    /// Returns the number of nodes, including this one.
     pub fn live(&self) -> u32 {
         let others = self.others().count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
@@ -121,12 +123,12 @@
         self.owners.iter().chain(standbys).filter(|(name, _)| **name != self.own)
     }
 
-    /// Tells whether a node is registered as one that holds no permit.
+    /// Returns true if a node is registered as a standby, which holds no read lease.
     pub fn is_standby(&self, node: &Name) -> bool {
         self.standbys.contains_key(node) && !self.owners.contains_key(node)
     }
 
-    /// Returns a node's last record, also if it has left a short while ago.
+    /// Returns a node's last record, including that of a node that left recently.
     pub fn last_known(&self, node: &Name) -> Option<&NodeRecord> {
         self.get(node).or_else(|| self.former_nodes.get(node).map(|(_, record)| record))
     }
@@ -136,7 +138,8 @@
         self.owners.get(node).or_else(|| self.standbys.get(node))
     }
 
-    /// Returns the data centre and capacity of each node that stays; those of this one are given.
+    /// Returns the data centre and capacity of each node that is not leaving; those of this node
+    /// are passed in.
     pub(crate) fn members(
         &self,
         centre: &Name,
@@ -155,12 +158,12 @@
         members
     }
 
-    /// Tells whether a node has acknowledged an announcement.
+    /// Returns true if a node has acknowledged an announcement.
     pub fn has_acknowledged(&self, node: &Name, announced: u64) -> bool {
         self.owners.get(node).is_some_and(|record| record.acknowledged >= announced)
     }
 
-    /// Returns the nodes that complain about a cluster, in the order in which they should act.
+    /// Returns the nodes that suspect a cluster's primary, in the order in which they should act.
     pub fn suspecting_nodes(&self, cluster: &Name) -> Vec<Name> {
         let mut nodes: Vec<Name> = self
             .owners
@@ -172,7 +175,8 @@
         nodes
     }
 
-    /// Spreads the nodes evenly over a number of choices.
+    /// Returns this node's choice of a number of alternatives; the nodes are spread evenly over
+    /// them.
     pub fn choice_index(&self, choices: usize) -> usize {
         let before = self.owners.keys().filter(|name| **name < self.own).count();
         before.checked_rem(choices).unwrap_or_default()
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -1,7 +1,9 @@
-//! Sessions of clients: values, prepared names, transactions, positions of own writes.
+//! Client sessions: values, prepared statements, transactions and the positions of their own
+//! writes.
 //!
-//! The proxy answers `SET`, `PREPARE`, `DEALLOC` and `BEGIN` itself and carries them out on a connection
-//! when the first statement needs one. So an idle session or transaction holds no connection.
+//! The proxy answers `SET`, `PREPARE`, `DEALLOC` and `BEGIN` itself and executes them on a
+//! connection when the first statement needs it. An idle session, or a transaction without a
+//! statement, thus holds no connection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,14 +19,14 @@
 use crate::statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
 use crate::{Gate, fields};
 
-/// Prepared statements and values that one session may hold; more are refused.
+/// Maximum number of prepared statements, and of values, of one session; more are refused.
 const SESSION_NAMES_LIMIT: usize = 256;
 
-/// A transaction of a session.
+/// The transaction of a session.
 #[derive(Clone, Debug)]
 pub(crate) enum Transaction {
     None,
-    /// `BEGIN` was answered; no database knows of it yet.
+    /// `BEGIN` was answered; no database knows of the transaction yet.
     Pending {
         begin: ClientRequest,
         read_only: bool,
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Rolls back what is open on a pinned connection and gives it back. One with a statement in flight
-    /// is closed, which rolls back too.
+    /// Rolls back the session's open transaction and releases its connection. A connection with a
+    /// statement in flight is closed, which also rolls back.
     pub(crate) fn release_transaction(&mut self, connection: LinkId, session: SessionId) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.transaction_session != Some(session) {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Returns the route of a session's next transaction, or answers that there is none.
+    /// Returns the route of a session's next transaction; replies with an error if there is none.
     fn current_route(&mut self, id: SessionId) -> Option<Arc<RouteConfig>> {
         let session = self.sessions.get(&id)?;
         let route = self.table.routes.get(&session.database).cloned();
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Rolls an open transaction back; its next statement is told so.
+    /// Rolls back an open transaction; its next statement gets an error.
     pub(crate) fn abort_transaction(&mut self, id: SessionId, reason: &'static str) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Transaction::Open(open) = &session.transaction else { return };
@@ -308,7 +310,7 @@
         self.release_transaction(connection, id);
     }
 
-    /// Closes the sessions that are between requests and outside transactions.
+    /// Closes the sessions that have neither a request nor a transaction.
     pub(crate) fn close_idle_sessions(&mut self) {
         let idle: Vec<SessionId> = self
             .sessions
@@ -323,8 +325,8 @@
     }
 }
 
-/// Returns the time that data must cover for a request that began at `started_at`, or `None` if only the
-/// leader's current data will do.
+/// Returns the time up to which data must be current for a request that began at `started_at`, or
+/// `None` if only the leader's current data is sufficient.
 pub(crate) fn coverage_time(freshness: Freshness, started_at: Micros) -> Option<Micros> {
     match freshness {
         Freshness::Latest => None,
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gate knows of its own process.
+//! Settings of one process.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     pub data_centre: Name,
     /// Processor share of the VM, in thousandths of a core.
     pub capacity: u32,
-    /// Where other nodes forward requests to.
+    /// Address to which other nodes forward requests.
     pub peer_address: Option<SocketAddr>,
     /// Distinguishes processes that ran under the same name.
     pub process: u64,
--- a/crates/gate/src/statement.rs
+++ b/crates/gate/src/statement.rs
@@ -11,7 +11,7 @@
     Write,
 }
 
-/// A statement, as every codec hands it to the core.
+/// A statement, as decoded by every codec.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
     Begin {
@@ -30,7 +30,7 @@
         access: StatementAccess,
         shape: Name,
     },
-    /// `arguments` is everything behind the prepared name.
+    /// `arguments` is everything after the prepared name.
     Execute {
         name: Name,
         arguments: Name,
@@ -40,19 +40,20 @@
     },
 }
 
-/// One request of a session.
+/// A client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// Chosen by the client and passed on unchanged, so that databases and logs agree on it.
+    /// Chosen by the client and passed on unchanged, so that it is the same in the logs of
+    /// databases and proxies.
     pub id: Name,
     /// The statement as the client wrote it; passed on unchanged except for prepared names.
     pub text: Name,
     pub statement: Statement,
-    /// Position that a read needs; only other nodes send one.
+    /// Required position of a read; only set by other nodes.
     pub after: Option<LogPoint>,
 }
 
-/// Transaction state that a client is told with each reply.
+/// Transaction state that is sent to the client with each reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SessionState {
     #[default]
@@ -65,19 +66,19 @@
 /// Errors that clients and databases exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ErrorCode {
-    /// Not run for want of a slot or a usable database.
+    /// Not run: no slot or no usable database is available.
     Busy,
-    /// The transaction was rolled back and nothing of it is kept.
+    /// The transaction was rolled back without effect.
     Aborted,
     /// Not run: the log lacks the requested position.
     Lagging,
     /// Not run: the database does not accept writes.
     ReadOnly,
-    /// Not run: the database is another one than expected.
+    /// Not run: the database is not the expected one.
     Misrouted,
     /// Not run: the connection limit is reached.
     TooManyConnections,
-    /// Whether the request ran is not known.
+    /// It is not known whether the request ran.
     Unknown,
     /// The time limit passed; the request may have run.
     Timeout,
@@ -87,12 +88,12 @@
     NoDatabase,
     TooBig,
     Malformed,
-    /// A code that this version does not know; promises nothing.
+    /// A code that this version does not know; it guarantees nothing.
     Other,
 }
 
 impl ErrorCode {
-    /// Tells whether the code promises that the request did not run.
+    /// Returns true if the code guarantees that the request did not run.
     pub const fn promises_not_run(self) -> bool {
         matches!(
             self,
