--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -42,7 +42,7 @@
     /// Requests that wait for proof of the leader.
     pub(crate) waiting_for_proof: Vec<WorkId>,
     /// Since when requests have needed a usable leader and none is known.
-    pub(crate) leader_missed: Option<Micros>,
+    pub(crate) leader_missing_since: Option<Micros>,
     /// Latest time for which a proof is needed.
     pub(crate) needed_proof_time: Option<Micros>,
     next_search: Micros,
@@ -50,11 +50,11 @@
     pub(crate) announced_term: Option<Term>,
     /// When the last announced failover was over; earlier reports and commits prove nothing any
     /// more.
-    pub(crate) settled: Micros,
+    pub(crate) last_failover_end: Micros,
     /// When the overdue commit was sent; cleared by an acknowledged commit.
     pub(crate) commit_overdue: Option<Micros>,
     /// When a report last failed to prove the leader.
-    proof_failed: Option<Micros>,
+    proof_failed_at: Option<Micros>,
 }
 
 impl Gate {
@@ -200,7 +200,7 @@
             return;
         }
         state.needed_proof_time = state.needed_proof_time.max(Some(proof_time));
-        if state.proof_failed.is_some_and(|at| self.now < at + PROOF_RETRY_INTERVAL) {
+        if state.proof_failed_at.is_some_and(|at| self.now < at + PROOF_RETRY_INTERVAL) {
             return;
         }
         let leader = state.proof.leader().cloned();
@@ -290,9 +290,9 @@
         let changed = state.proof.report(&name, asked, &report);
         if state.proof.confirmed_at() >= state.needed_proof_time {
             state.needed_proof_time = None;
-            state.proof_failed = None;
+            state.proof_failed_at = None;
         } else if report.role == DatabaseRole::Replica {
-            state.proof_failed = Some(self.now);
+            state.proof_failed_at = Some(self.now);
         }
         if changed {
             state.commit_overdue = None;
@@ -345,7 +345,7 @@
             return;
         }
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        state.leader_missed = None;
+        state.leader_missing_since = None;
         for id in std::mem::take(&mut state.waiting_for_leader) {
             if self
                 .requests
@@ -378,7 +378,7 @@
         self.wake_waiting_for_leader(cluster);
         let usable = self.usable_leader(cluster).is_some();
         let Some(state) = self.clusters.get_mut(cluster) else { return };
-        if !usable && state.leader_missed.is_some_and(|since| now >= since + FAILOVER_WAIT) {
+        if !usable && state.leader_missing_since.is_some_and(|since| now >= since + FAILOVER_WAIT) {
             for id in std::mem::take(&mut state.waiting_for_leader) {
                 if self
                     .requests
@@ -395,7 +395,7 @@
         }
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         let unknown = state.proof.leader().is_none();
-        let doubtful = !state.waiting_for_proof.is_empty() || state.leader_missed.is_some();
+        let doubtful = !state.waiting_for_proof.is_empty() || state.leader_missing_since.is_some();
         if now >= state.next_search {
             if holds && (unknown || doubtful) {
                 let interval = if unknown { SEARCH_INTERVAL } else { UNRESPONSIVE_LEADER_INTERVAL };
@@ -429,10 +429,10 @@
         let Some(acquired) = self.read_lease_acquired() else { return };
         let Some(state) = self.clusters.get(cluster) else { return };
         if state.proof.leader().is_some()
-            && state.proof.needs_direct_proof(acquired.max(state.settled))
+            && state.proof.needs_direct_proof(acquired.max(state.last_failover_end))
             && !self.is_announced(cluster)
         {
-            let since = acquired.max(state.settled);
+            let since = acquired.max(state.last_failover_end);
             self.request_proof(cluster, since);
         }
     }
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -66,7 +66,7 @@
             "configuration": self.table.version,
             "sessions": self.sessions.len(),
             "requests": self.requests.len(),
-            "nodes": self.registry.live(),
+            "nodes": self.registry.node_count(),
             "permit_held": self.read_lease_acquired().is_some(),
             "draining": self.drain.since.is_some(),
             "duty": { "revision": lease_revision, "holder": lease.holder,
--- a/crates/gate/src/fleet.rs
+++ b/crates/gate/src/fleet.rs
@@ -36,22 +36,22 @@
 /// What is known about the number of nodes.
 #[derive(Debug, Default)]
 pub(crate) struct FleetState {
-    known: u32,
+    known_nodes: u32,
     /// Since when fewer nodes than known have been registered.
     incomplete_since: Option<Micros>,
-    differs: Option<Micros>,
+    count_differs_since: Option<Micros>,
 }
 
 impl FleetState {
     /// Returns true if the store contains the number of nodes.
     pub(crate) fn is_known(&self) -> bool {
-        self.known > 0
+        self.known_nodes > 0
     }
 
     /// Returns true if more nodes are expected to register soon.
-    fn awaits_nodes(&mut self, now: Micros, live: u32) -> bool {
-        let complete = live * 100 >= self.known * COMPLETE_PERCENT;
-        if self.known as usize <= FEW_NODES || complete {
+    fn awaits_nodes(&mut self, now: Micros, node_count: u32) -> bool {
+        let complete = node_count * 100 >= self.known_nodes * COMPLETE_PERCENT;
+        if self.known_nodes as usize <= FEW_NODES || complete {
             self.incomplete_since = None;
             return false;
         }
@@ -63,12 +63,12 @@
 impl Gate {
     /// Processes the stored record.
     pub(crate) fn fleet_record_read(&mut self, record: FleetRecord) {
-        self.fleet.known = record.nodes;
+        self.fleet.known_nodes = record.nodes;
     }
 
     pub(crate) fn awaits_nodes(&mut self) -> bool {
-        let live = self.registry.live();
-        self.fleet.awaits_nodes(self.now, live)
+        let node_count = self.registry.node_count();
+        self.fleet.awaits_nodes(self.now, node_count)
     }
 
     /// Ends the wait for nodes. One node stores their number if it has differed for long enough.
@@ -77,20 +77,20 @@
         if self.fleet.incomplete_since.is_some() {
             self.update_owners();
         }
-        let (live, known) = (self.registry.live(), self.fleet.known);
-        let large = live.max(known) as usize > FEW_NODES;
-        if !large || live.abs_diff(known) * 100 <= known * COUNT_CHANGE_PERCENT {
-            self.fleet.differs = None;
+        let (node_count, known) = (self.registry.node_count(), self.fleet.known_nodes);
+        let large = node_count.max(known) as usize > FEW_NODES;
+        if !large || node_count.abs_diff(known) * 100 <= known * COUNT_CHANGE_PERCENT {
+            self.fleet.count_differs_since = None;
             return;
         }
-        let since = *self.fleet.differs.get_or_insert(now);
+        let since = *self.fleet.count_differs_since.get_or_insert(now);
         let first = self.table.clusters.keys().min();
         let writes = first.is_some_and(|cluster| self.owner_position(cluster) == 0);
         if writes && self.registration.role == NodeRole::Owner && now >= since + COUNT_CHANGE_DELAY
         {
-            self.fleet.differs = Some(now);
-            self.log("fleet_counted", fields!["nodes" => u64::from(live)]);
-            if let Some(bytes) = self.write_record("fleet", &FleetRecord { nodes: live }) {
+            self.fleet.count_differs_since = Some(now);
+            self.log("fleet_counted", fields!["nodes" => u64::from(node_count)]);
+            if let Some(bytes) = self.write_record("fleet", &FleetRecord { nodes: node_count }) {
                 self.out.push(GateAction::WriteFleet { bytes });
             }
         }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -263,20 +263,20 @@
             self.promotion_lease.observe(self.now, None);
         }
         for stored in documents {
-            self.take_document(stored);
+            self.apply_document(stored);
         }
         self.nodes_listed();
     }
 
     fn document_changed(&mut self, stored: StoredDocument) {
         let counts_nodes = stored.document != Document::Duty;
-        self.take_document(stored);
+        self.apply_document(stored);
         if counts_nodes {
             self.update_owners();
         }
     }
 
-    fn take_document(&mut self, stored: StoredDocument) {
+    fn apply_document(&mut self, stored: StoredDocument) {
         match stored.document {
             Document::Duty => {
                 if !self.promotion_lease.observe(self.now, Some((stored.revision, &stored.bytes))) {
--- a/crates/gate/src/owners.rs
+++ b/crates/gate/src/owners.rs
@@ -176,7 +176,7 @@
         let all: Vec<Name> = self.table.clusters.keys().cloned().collect();
         let owned = all.iter().filter(|cluster| self.owns_connections(cluster)).count();
         let record = fields![
-            "nodes" => u64::from(self.registry.live()),
+            "nodes" => u64::from(self.registry.node_count()),
             "clusters" => u64::try_from(all.len()).unwrap_or(u64::MAX),
             "owned" => u64::try_from(owned).unwrap_or(u64::MAX)
         ];
@@ -202,13 +202,13 @@
     /// Returns the number of nodes that keep connections to the cluster's databases.
     pub(crate) fn owner_count(&self, cluster: &Name) -> u32 {
         let owners = self.owners.owners_of(cluster).map(<[Name]>::len);
-        owners.map_or(self.registry.live(), |count| u32::try_from(count).unwrap_or(u32::MAX))
+        owners.map_or(self.registry.node_count(), |count| u32::try_from(count).unwrap_or(u32::MAX))
     }
 
     /// Returns this node's position among the owners of a cluster, for tasks that only one of them
     /// does.
     pub(crate) fn owner_position(&self, cluster: &Name) -> u64 {
         let position = self.owners.position(cluster, &self.settings.node);
-        position.map_or(u64::from(self.registry.live()), |position| position as u64)
+        position.map_or(u64::from(self.registry.node_count()), |position| position as u64)
     }
 }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -52,7 +52,7 @@
 
 impl Gate {
     /// Returns true if requests of the cluster are expected to be served, here or by an owner.
-    pub(crate) fn reaches_cluster(&self, cluster: &Name, contacts: &PeerContacts) -> bool {
+    pub(crate) fn can_serve_cluster(&self, cluster: &Name, contacts: &PeerContacts) -> bool {
         if self.owns_connections(cluster) && self.usable_leader(cluster).is_some() {
             return true;
         }
--- a/crates/gate/src/read_lease.rs
+++ b/crates/gate/src/read_lease.rs
@@ -43,7 +43,7 @@
 impl Gate {
     pub(crate) fn read_lease_renewed(&mut self, sent: Micros, registration: u64) {
         let state = &self.registration;
-        if state.role != NodeRole::Owner || state.number != registration {
+        if state.role != NodeRole::Owner || state.role_changes != registration {
             return;
         }
         if self.read_lease.acquired.is_none() {
@@ -109,7 +109,7 @@
         if let Some(acquired) = self.read_lease_acquired()
             && let Some(state) = self.clusters.get_mut(cluster)
         {
-            state.proof.read_lease_valid(acquired.max(state.settled), now);
+            state.proof.read_lease_valid(acquired.max(state.last_failover_end), now);
         }
     }
 
@@ -130,7 +130,7 @@
         // A report from before the end of the failover may be of the old primary's term.
         for name in self.read_lease.announced.iter().filter(|name| !changing.contains(name)) {
             if let Some(state) = self.clusters.get_mut(name.as_str()) {
-                state.settled = self.now;
+                state.last_failover_end = self.now;
             }
         }
         self.read_lease.acknowledged = revision;
--- a/crates/gate/src/ready.rs
+++ b/crates/gate/src/ready.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReadyState {
     ready: bool,
-    announced: bool,
+    published: bool,
     /// Since when most primaries have been unusable.
     unreachable_since: Option<Micros>,
     /// Since when the node has not been ready.
@@ -40,7 +40,7 @@
         let (mut clusters, mut usable) = (0_u32, 0_u32);
         for cluster in routed {
             clusters += 1;
-            usable += u32::from(self.reaches_cluster(cluster, &contacts));
+            usable += u32::from(self.can_serve_cluster(cluster, &contacts));
         }
         if usable * 2 >= clusters {
             self.ready.unreachable_since = None;
@@ -54,9 +54,9 @@
         let kept = was_ready && unreachable_since.is_some_and(|since| now < since + limit);
         let ready =
             clusters > 0 && self.drain.since.is_none() && (unreachable_since.is_none() || kept);
-        if ready != was_ready || !self.ready.announced {
+        if ready != was_ready || !self.ready.published {
             self.ready.ready = ready;
-            self.ready.announced = true;
+            self.ready.published = true;
             self.ready.unready_since = (!ready).then_some(now);
             self.out.push(GateAction::SetReady(ready));
             self.log(
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -32,9 +32,9 @@
     published: Micros,
     pub(crate) role: NodeRole,
     /// Counts the changes of role, to recognize renewals of an ended registration.
-    pub(crate) number: u64,
+    pub(crate) role_changes: u64,
     /// Since when this node has owned connections.
-    owning: Option<Micros>,
+    owning_since: Option<Micros>,
     /// When the list of nodes was first read, and whether it contained others.
     pub(crate) listed: Option<(Micros, bool)>,
 }
@@ -62,7 +62,7 @@
         };
         if role != self.registration.role {
             self.registration.role = role;
-            self.registration.number += 1;
+            self.registration.role_changes += 1;
             self.registration.record = None;
             self.read_lease_lost();
             self.log("role", fields!["owner" => role == NodeRole::Owner]);
@@ -85,10 +85,10 @@
             usable += usize::from(self.usable_leader(cluster).is_some());
         }
         if count == 0 {
-            self.registration.owning = None;
+            self.registration.owning_since = None;
             return false;
         }
-        let since = *self.registration.owning.get_or_insert(self.now);
+        let since = *self.registration.owning_since.get_or_insert(self.now);
         usable * 2 > count || self.now >= since + WARM_UP_TIMEOUT
     }
 
@@ -120,7 +120,7 @@
 
     fn publish(&mut self, record: NodeRecord) {
         if let Some(bytes) = self.write_record("node", &record) {
-            let (role, registration) = (self.registration.role, self.registration.number);
+            let (role, registration) = (self.registration.role, self.registration.role_changes);
             self.out.push(GateAction::PublishNode { role, registration, bytes });
         }
         self.registration.record = Some(record);
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the number of nodes, including this one.
-    pub fn live(&self) -> u32 {
+    pub fn node_count(&self) -> u32 {
         let others = self.others().count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -362,7 +362,7 @@
         request.stage = RequestStage::WaitingForLeader;
         request.database = None;
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
-        state.leader_missed.get_or_insert(now);
+        state.leader_missing_since.get_or_insert(now);
         if self.is_forwarded(id) {
             let text = "not run, this node reaches no primary, retry at once";
             return self.refuse(id, ErrorCode::Misrouted, text);
@@ -376,7 +376,7 @@
             let text = "not run, no connection to the databases is free, retry after 150 ms";
             return self.refuse(id, ErrorCode::Busy, text);
         }
-        if now >= state.leader_missed.unwrap_or(now) + crate::cluster::FAILOVER_WAIT {
+        if now >= state.leader_missing_since.unwrap_or(now) + crate::cluster::FAILOVER_WAIT {
             return self.refuse(
                 id,
                 ErrorCode::Busy,
