--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -19,7 +19,7 @@
 
 /// Time after the first list for which a node that found no other stays a standby. Nodes that start
 /// together register in this time; otherwise each of many nodes would briefly own connections.
-const STARTUP_GRACE: Micros = Micros::from_millis(1_000);
+const DISCOVERY_GRACE: Micros = Micros::from_millis(1_000);
 
 /// Time after which an owner registers as one although it knows no primary, because the other nodes
 /// may not know one either.
@@ -51,7 +51,7 @@
     pub(crate) fn maintain_registration(&mut self, suspected_clusters: BTreeSet<String>) {
         let now = self.now;
         let Some((listed, others)) = self.registration.listed else { return };
-        let settled = others || self.fleet.is_known() || now >= listed + STARTUP_GRACE;
+        let settled = others || self.fleet.is_known() || now >= listed + DISCOVERY_GRACE;
         let owns = self.table.clusters.keys().any(|cluster| self.owns_connections(cluster));
         let warm = self.registration.role == NodeRole::Owner || self.is_warmed_up();
         let role = match self.registration.role {
--- a/crates/gate/tests/overload.rs
+++ b/crates/gate/tests/overload.rs
@@ -49,8 +49,8 @@
 fn the_leader_serves_reads_when_replicas_are_slow() {
     let mut simulation = Simulation::start(3);
     warm_up(&mut simulation);
-    simulation.database("b").work = millis(40);
-    simulation.database("c").work = millis(40);
+    simulation.database("b").statement_time = millis(40);
+    simulation.database("c").statement_time = millis(40);
     let sessions = burst(&mut simulation, BOUNDED, 60, 1);
     simulation.run(millis(800));
     let at_leader = simulation.databases["a"].ran.iter().filter(|(id, _)| id.starts_with(BOUNDED));
@@ -108,7 +108,7 @@
     let mut simulation = Simulation::start(1);
     warm_up(&mut simulation);
     for name in ["a", "b", "c"] {
-        simulation.database(name).work = millis(30);
+        simulation.database(name).statement_time = millis(30);
     }
     let begun = simulation.now;
     let mut sessions = Vec::new();
@@ -145,7 +145,7 @@
     let mut simulation = Simulation::start(1);
     warm_up(&mut simulation);
     for name in ["a", "b", "c"] {
-        simulation.database(name).work = millis(20);
+        simulation.database(name).statement_time = millis(20);
     }
     let mut urgent = Vec::new();
     let mut flood = Vec::new();
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -47,7 +47,7 @@
     pub leaving: bool,
     pub connections_refused: bool,
     /// Time for one statement.
-    pub work: Micros,
+    pub statement_time: Micros,
     /// Runs statements but loses their answers.
     pub loses_answers: bool,
     slot_free: Micros,
@@ -102,7 +102,7 @@
     pub closed: BTreeSet<SessionId>,
     /// Databases without an entry in the list.
     pub hidden: BTreeSet<Name>,
-    links: BTreeMap<(usize, LinkId), Name>,
+    connections: BTreeMap<(usize, LinkId), Name>,
     documents: BTreeMap<String, StoredDocument>,
     revision: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -188,7 +188,7 @@
                 replication_stopped: false,
                 leaving: false,
                 connections_refused: false,
-                work: STATEMENT_TIME,
+                statement_time: STATEMENT_TIME,
                 loses_answers: false,
                 slot_free: Micros::ZERO,
                 ran: Vec::new(),
@@ -214,7 +214,7 @@
             stopped: BTreeSet::new(),
             closed: BTreeSet::new(),
             hidden: BTreeSet::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             documents: BTreeMap::new(),
             revision: 1,
             queue: BinaryHeap::new(),
@@ -322,7 +322,7 @@
     fn execute_action(&mut self, gate: usize, action: GateAction) {
         match action {
             GateAction::OpenLink { link, database, .. } => {
-                self.links.insert((gate, link), database.clone());
+                self.connections.insert((gate, link), database.clone());
                 let Some(state) = self.databases.get(&database) else { return };
                 if self.cuts.contains(&(gate, database)) || state.unreachable {
                     return;
@@ -335,10 +335,10 @@
                 self.schedule(Micros::from_millis(14), Delivery::Gate(gate, event));
             }
             GateAction::CloseLink { link } => {
-                self.links.remove(&(gate, link));
+                self.connections.remove(&(gate, link));
             }
             GateAction::Send { link, commands } => {
-                let Some(database) = self.links.get(&(gate, link)).cloned() else { return };
+                let Some(database) = self.connections.get(&(gate, link)).cloned() else { return };
                 for command in commands {
                     let database = database.clone();
                     self.schedule(
@@ -451,7 +451,7 @@
                     }
                     // One slot: statements queue behind each other.
                     let start = state.slot_free.max(now);
-                    let end = if statement { start + state.work } else { now };
+                    let end = if statement { start + state.statement_time } else { now };
                     if statement {
                         state.slot_free = end;
                     }
@@ -463,7 +463,7 @@
             Delivery::Answer { gate, link, database, answer } => {
                 let lost = self.cuts.contains(&(gate, database.clone()))
                     || self.databases[&database].unreachable
-                    || !self.links.contains_key(&(gate, link));
+                    || !self.connections.contains_key(&(gate, link));
                 if !lost {
                     self.event(gate, GateEvent::LinkAnswered { link, answer });
                 }
