--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -64,7 +64,7 @@
         let Some(database) = self.databases.get(name) else { return };
         let closed = database.unlisted_since.is_some()
             || database.leaving_since.is_some_and(|since| now >= since + LEAVING_GRACE);
-        if now < database.retry_open || closed {
+        if now < database.open_retry_at || closed {
             return;
         }
         let waiting: u32 = database.queue.stats().waiting.0.iter().sum();
@@ -125,7 +125,7 @@
             return;
         }
         state.open = true;
-        state.used = now;
+        state.last_used = now;
         let name = state.database.clone();
         let Some(database) = self.databases.get_mut(&name) else { return };
         database.opening -= 1;
@@ -155,7 +155,7 @@
         }
         self.remove_connection(connection);
         if let Some(database) = self.databases.get_mut(&name) {
-            database.retry_open = now + LIMIT_REFUSAL_BACKOFF;
+            database.open_retry_at = now + LIMIT_REFUSAL_BACKOFF;
             if code == ErrorCode::TooManyConnections {
                 database.limit_refused_at = Some(now);
             }
@@ -173,7 +173,7 @@
             if opening {
                 let pause = OPEN_BACKOFF_MIN.0 << database.open_failures.min(4);
                 database.open_failures += 1;
-                database.retry_open = now + Micros(pause).min(OPEN_BACKOFF_MAX);
+                database.open_retry_at = now + Micros(pause).min(OPEN_BACKOFF_MAX);
             }
         }
         self.count("links_lost");
@@ -249,7 +249,7 @@
             return;
         }
         let Some(state) = self.connections.get_mut(&connection) else { return };
-        state.used = now;
+        state.last_used = now;
         for _ in &commands {
             state.pending.push_back(PendingCommand { purpose, sent: now });
         }
@@ -280,7 +280,7 @@
         let Some(pending) = state.pending.pop_front() else {
             return self.close_connection(connection, "answer without a command");
         };
-        state.used = now;
+        state.last_used = now;
         self.record_answer(&name);
         if let Some(database) = self.databases.get_mut(&name) {
             database.overdue_since = None;
@@ -352,8 +352,9 @@
             return self.close_connection(connection, "connection state unknown");
         }
         let name = state.database.clone();
-        let spent = state.needs_reset();
-        if spent && self.databases.get(&name).is_some_and(|database| database.peer.is_some()) {
+        let needs_reset = state.needs_reset();
+        if needs_reset && self.databases.get(&name).is_some_and(|database| database.peer.is_some())
+        {
             return self.close_connection(connection, "session state cannot be reset");
         }
         let Some(database) = self.databases.get_mut(&name) else { return };
@@ -382,20 +383,20 @@
     /// Closes connections that are unresponsive or unused, and dispatches requests that became due.
     pub(crate) fn maintain_connections(&mut self) {
         let now = self.now;
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         let mut surplus: Vec<(Name, LinkId, Micros)> = Vec::new();
         for (id, connection) in &self.connections {
             if !connection.open {
                 if now >= connection.opened_at + OPEN_TIMEOUT {
-                    silent.push(*id);
+                    unresponsive.push(*id);
                 }
                 continue;
             }
             let Some(pending) = connection.pending.front() else {
                 if connection.transaction_session.is_none()
-                    && now >= connection.used + SURPLUS_IDLE_TIMEOUT
+                    && now >= connection.last_used + SURPLUS_IDLE_TIMEOUT
                 {
-                    surplus.push((connection.database.clone(), *id, connection.used));
+                    surplus.push((connection.database.clone(), *id, connection.last_used));
                 }
                 continue;
             };
@@ -416,10 +417,10 @@
                 | CommandPurpose::Rollback => REPORT_TIMEOUT,
             };
             if now >= pending.sent.saturating_add(limit) {
-                silent.push(*id);
+                unresponsive.push(*id);
             }
         }
-        for connection in silent {
+        for connection in unresponsive {
             self.out.push(GateAction::CloseLink { link: connection });
             self.connection_lost(connection);
         }
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -125,7 +125,7 @@
     /// When a statement was sent whose answer is overdue, with no answer to any command since.
     pub(crate) overdue_since: Option<Micros>,
     pub(crate) latency: LatencyEstimate,
-    pub(crate) retry_open: Micros,
+    pub(crate) open_retry_at: Micros,
     pub(crate) open_failures: u32,
     /// When the report in flight was requested.
     pub(crate) report_requested_at: Option<Micros>,
@@ -155,7 +155,7 @@
             last_command_answer: None,
             overdue_since: None,
             latency: LatencyEstimate::default(),
-            retry_open: Micros::ZERO,
+            open_retry_at: Micros::ZERO,
             open_failures: 0,
             report_requested_at: None,
             report_wanted: false,
@@ -175,7 +175,7 @@
     pub(crate) fn wants_probe(&self, now: Micros) -> bool {
         self.peer.is_some()
             && self.opening == 0
-            && now >= self.retry_open
+            && now >= self.open_retry_at
             && self.unanswered_since().is_some_and(|since| now >= since + PEER_PROBE_DELAY)
     }
 
@@ -304,7 +304,7 @@
     pub(crate) transaction_session: Option<SessionId>,
     /// The connection's state is unknown; it is closed when nothing is in flight.
     pub(crate) close_when_idle: bool,
-    pub(crate) used: Micros,
+    pub(crate) last_used: Micros,
     values: BTreeMap<Name, Name>,
     prepared: FastMap<(StatementAccess, Name), Name>,
     prepared_count: u64,
@@ -323,7 +323,7 @@
             pending: VecDeque::new(),
             transaction_session: None,
             close_when_idle: false,
-            used: now,
+            last_used: now,
             values: BTreeMap::new(),
             prepared: FastMap::default(),
             prepared_count: 0,
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -166,14 +166,15 @@
     pub(crate) fn maintain_promotion_lease(&mut self) {
         let now = self.now;
         let (_, record) = self.promotion_lease.record();
-        let abandoned = !record.changing.is_empty() && !self.promotion_lease.is_held_elsewhere(now);
+        let abandoned =
+            !record.announced_clusters.is_empty() && !self.promotion_lease.is_held_elsewhere(now);
         let unfence_pending = self.connections.values().any(|connection| {
             connection.pending.iter().any(|pending| pending.purpose == CommandPurpose::Unfence)
         });
         let write = if self.failovers.running.is_empty() && !unfence_pending {
             if abandoned
                 && self.promotion_lease.fencing_token(now).is_none()
-                && self.has_stable_contact()
+                && self.has_stable_store_contact()
             {
                 // The announcement of a failed holder is cleared by claiming the lease and
                 // releasing it.
@@ -182,8 +183,9 @@
                 self.promotion_lease.release(now)
             }
         } else if self.promotion_lease.needs_renewal(now) || self.announcement_missing() {
-            let changing = self.failovers.running.keys().map(ToString::to_string).collect();
-            self.promotion_lease.claim(now, changing)
+            let announced_clusters =
+                self.failovers.running.keys().map(ToString::to_string).collect();
+            self.promotion_lease.claim(now, announced_clusters)
         } else {
             None
         };
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -73,11 +73,11 @@
     pub(crate) fn peer_contacts(&self) -> PeerContacts {
         let now = self.now;
         let mut contacts = PeerContacts::default();
-        let mut heard = FastSet::<Name>::default();
+        let mut responsive = FastSet::<Name>::default();
         for entry in self.databases.values() {
             let Some(node) = &entry.peer else { continue };
             if entry.last_answer.is_some_and(|at| now < at + UNRESPONSIVE_TIMEOUT) {
-                heard.insert(node.clone());
+                responsive.insert(node.clone());
                 let centre = self.registry.get(node).map(|record| record.data_centre.as_str());
                 contacts.hears_other_data_centres |=
                     centre != Some(self.settings.data_centre.as_str());
@@ -85,7 +85,7 @@
                 contacts.silent.insert(node.clone());
             }
         }
-        contacts.silent.retain(|node| !heard.contains(node));
+        contacts.silent.retain(|node| !responsive.contains(node));
         contacts
     }
 
--- a/crates/gate/src/promotion_lease.rs
+++ b/crates/gate/src/promotion_lease.rs
@@ -40,8 +40,8 @@
     /// The holder has nothing in flight.
     pub idle: bool,
     /// Clusters with an announced failover.
-    #[serde(default)]
-    pub changing: Vec<String>,
+    #[serde(default, rename = "changing")]
+    pub announced_clusters: Vec<String>,
 }
 
 /// This node's view of the promotion lease.
@@ -133,7 +133,8 @@
     /// Returns true if this node holds the lease and its stored record announces a failover of the
     /// cluster.
     pub fn announces(&self, now: Micros, cluster: &str) -> bool {
-        self.fencing_token(now).is_some() && self.record.changing.iter().any(|name| name == cluster)
+        self.fencing_token(now).is_some()
+            && self.record.announced_clusters.iter().any(|name| name == cluster)
     }
 
     /// Returns true if another node holds the lease and may be acting.
@@ -145,7 +146,7 @@
     }
 
     /// Returns the write that claims or renews the lease, if one is allowed now.
-    pub fn claim(&mut self, now: Micros, changing: Vec<String>) -> Option<LeaseWrite> {
+    pub fn claim(&mut self, now: Micros, announced_clusters: Vec<String>) -> Option<LeaseWrite> {
         self.changed?;
         if self.is_held_elsewhere(now) {
             return None;
@@ -154,7 +155,7 @@
             Some((token, _)) => token,
             None => self.record.fencing_token + 1,
         };
-        self.write(now, token, false, changing)
+        self.write(now, token, false, announced_clusters)
     }
 
     /// Returns the write that releases the lease.
@@ -168,7 +169,7 @@
         now: Micros,
         token: u64,
         idle: bool,
-        changing: Vec<String>,
+        announced_clusters: Vec<String>,
     ) -> Option<LeaseWrite> {
         if self.pending.as_ref().is_some_and(|pending| now < pending.sent + WRITE_TIMEOUT) {
             return None;
@@ -179,7 +180,7 @@
             fencing_token: token,
             write_id: self.process.wrapping_add(self.attempt),
             idle,
-            changing,
+            announced_clusters,
         };
         // Cannot fail: the record contains only strings, numbers and booleans.
         let bytes = serde_json::to_vec(&record).ok()?;
--- a/crates/gate/src/read_lease.rs
+++ b/crates/gate/src/read_lease.rs
@@ -58,13 +58,13 @@
 
     /// Returns true if entries of databases that expired while the store was unavailable are listed
     /// again.
-    pub(crate) fn has_complete_list(&self) -> bool {
+    pub(crate) fn has_complete_database_list(&self) -> bool {
         self.read_lease_acquired().is_some()
             && self.now >= self.read_lease.continuous_since + RELIST_GRACE
     }
 
     /// Returns true if this node has had uninterrupted store contact for a while.
-    pub(crate) fn has_stable_contact(&self) -> bool {
+    pub(crate) fn has_stable_store_contact(&self) -> bool {
         self.read_lease_acquired().is_some()
             && self.now >= self.read_lease.continuous_since + STABLE_CONTACT_GRACE
     }
@@ -116,11 +116,11 @@
     /// Acts on the stored announcement; this node's next registration acknowledges it.
     pub(crate) fn announcement_seen(&mut self) {
         let (revision, record) = self.promotion_lease.record();
-        if record.changing == self.read_lease.announced {
+        if record.announced_clusters == self.read_lease.announced {
             return;
         }
-        let changing = record.changing.clone();
-        for name in &changing {
+        let announced_clusters = record.announced_clusters.clone();
+        for name in &announced_clusters {
             if !self.read_lease.announced.contains(name)
                 && let Some(state) = self.clusters.get_mut(name.as_str())
             {
@@ -128,17 +128,19 @@
             }
         }
         // A report from before the end of the failover may be of the old primary's term.
-        for name in self.read_lease.announced.iter().filter(|name| !changing.contains(name)) {
+        for name in
+            self.read_lease.announced.iter().filter(|name| !announced_clusters.contains(name))
+        {
             if let Some(state) = self.clusters.get_mut(name.as_str()) {
                 state.last_failover_end = self.now;
             }
         }
         self.read_lease.acknowledged = revision;
-        self.read_lease.announced = changing.clone();
-        let ended = changing.is_empty();
+        self.read_lease.announced = announced_clusters.clone();
+        let ended = announced_clusters.is_empty();
         self.log(
             "announcement_seen",
-            fields!["revision" => revision, "clusters" => changing.join(",")],
+            fields!["revision" => revision, "clusters" => announced_clusters.join(",")],
         );
         if !ended {
             self.acknowledge_announcement();
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -55,7 +55,7 @@
                     database.last_answer.is_some_and(|at| now < at + REPLICA_CONTACT_TIMEOUT)
                 })
         });
-        if !replica_heard || !self.has_stable_contact() {
+        if !replica_heard || !self.has_stable_store_contact() {
             return None;
         }
         let Some(leader) = leader else {
@@ -166,7 +166,7 @@
         if self.failovers.running.contains_key(cluster)
             || self.failovers.backoff_until.get(cluster).is_some_and(|until| now < *until)
             || self.drain.since.is_some()
-            || !self.has_complete_list()
+            || !self.has_complete_database_list()
         {
             return;
         }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Scheduled {
+struct ScheduledDelivery {
     at: Micros,
     sequence: u64,
 }
@@ -105,7 +105,7 @@
     connections: BTreeMap<(usize, LinkId), Name>,
     documents: BTreeMap<String, StoredDocument>,
     revision: u64,
-    queue: BinaryHeap<Reverse<Scheduled>>,
+    queue: BinaryHeap<Reverse<ScheduledDelivery>>,
     deliveries: BTreeMap<u64, Delivery>,
     sequence: u64,
     next_session: u64,
@@ -274,7 +274,8 @@
     fn schedule(&mut self, delay: Micros, delivery: Delivery) {
         self.sequence += 1;
         self.deliveries.insert(self.sequence, delivery);
-        self.queue.push(Reverse(Scheduled { at: self.now + delay, sequence: self.sequence }));
+        self.queue
+            .push(Reverse(ScheduledDelivery { at: self.now + delay, sequence: self.sequence }));
     }
 
     /// Runs for a time, with timer events, lease renewals and message deliveries.
