--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -381,8 +381,8 @@
         self.requests.remove(&id);
     }
 
-    /// Handles the loss of a connection that a request was sent on. `statement_sent` tells whether the
-    /// statement itself was sent.
+    /// Handles the loss of a connection that a request was sent on. `statement_sent` tells whether
+    /// the statement itself was sent.
     pub(crate) fn request_connection_lost(&mut self, id: WorkId, statement_sent: bool) {
         self.abandon_slot(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -503,7 +503,8 @@
         }
     }
 
-    /// Handles a request whose answer is overdue. `deadline_passed` tells whether its time limit has passed.
+    /// Handles a request whose answer is overdue. `deadline_passed` tells whether its time limit has
+    /// passed.
     pub(crate) fn sent_request_timed_out(&mut self, id: WorkId, deadline_passed: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let unknown = "the time limit passed, the outcome is not known";
