--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,7 +1,8 @@
-//! Evidence that a primary still leads, proofs of data age, and the order of a promotion.
+//! Leadership proofs, data-age proofs and failover of a database cluster.
 //!
-//! [`ClusterWatch`] collects reports of one cluster's databases in rounds. [`Supervisor`] runs one
-//! promotion. Neither has a clock or a socket; times are on the caller's monotonic clock.
+//! [`ClusterWatch`] monitors one cluster's databases in report rounds. [`Supervisor`] orders the cluster's
+//! promotions. Both are state machines without clock or sockets: the driver executes their actions and
+//! passes in the time of its monotonic clock.
 
 mod supervisor;
 mod watch;
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -5,72 +5,73 @@
 //! Safety rests on two rules alone. **Fence majority:** a database is promoted in term T only after a
 //! majority accepted the fence of T from this supervisor. A database accepts a fence only above its own
 //! term, so it accepts T from one supervisor; two majorities share a database; so at most one supervisor
-//! passes this step in T. **One order:** that supervisor orders the promotion of one database only in
-//! T. If the answer is lost it may repeat the same order, never give another one in T. So T has at most
-//! one leader. Every other step only saves time and may fail or be skipped.
+//! passes this step in T. **Single order:** that supervisor orders the promotion of only one database
+//! in T. If the answer is lost it may repeat the same order but never give another one in T. So T has
+//! at most one leader. All other steps only save time and may fail or be skipped.
 //!
 //! | step | invariant | on failure |
 //! | --- | --- | --- |
 //! | `waiting` | Nothing was sent. Supervisor k waits k x 3 s. | Suspicion cleared: idle. |
-//! | `views` | Nothing was changed. A confirmed round younger than 1 s stops the promotion until it is older, so a bad link of one owner replaces nobody. | No answer counts as no objection. |
-//! | `record-read`, `record-write` | The target term is above every term seen. The record only orders supervisors. | Platform silent for 1.5 s: continue. Conflict: read again. Another supervisor's record at or above the target: wait one step. Own record at the target: the write was applied and its answer lost, continue. |
-//! | `other` | Another supervisor holds the record; it has one step of 3 s. | Still suspected after that: take over with a higher term. This also resumes a promotion left half done. |
+//! | `views` | Nothing was changed. A confirmed round younger than 1 s stops the promotion until it is older, so one owner's bad connection cannot replace a working primary. | No answer counts as no objection. |
+//! | `record-read`, `record-write` | The target term is above every term seen. The record only orders supervisors. | No answer from the platform for 1.5 s: continue. Conflict: read again. Another supervisor's record at or above the target: wait for its promotion. Own record at the target: the write was applied and its answer lost, continue. |
+//! | `other` | Another supervisor holds the record; it has 3 s for its promotion. | Primary still suspected after that: start over with a higher term. This also resumes a promotion that was left incomplete. |
 //! | `fencing` | Each accepted fence stops the old primary's log at one more database. | A refusal shows the higher term; without a majority in 0.5 s: back off, then a higher term. |
 //! | `promoting` | A majority is fenced, so no commit of a lower term is acknowledged any more. The fenced database with the highest (log term, received) holds every durable commit: its majority shares a database with the fence majority. | Repeat the same order; then a higher term with a new fence majority. |
-//! | `backoff` | Random, so that two supervisors do not meet again. | |
+//! | `backoff` | Random, so that two supervisors do not collide again. | |
 //!
 //! From `fencing` on, a cleared suspicion does not stop the promotion: the term of some databases has
-//! already been raised, and a fence majority without a leader would be an outage. Before it, it does.
+//! already been raised, and a fence majority without a leader would be an outage. Before `fencing`, it
+//! stops the promotion.
 //!
 //! A fence answer counts if it was accepted and its report shows the target term. A refusal at the
-//! target term does not count, even if an earlier answer of ours may have been lost, because another
-//! supervisor may own that fence.
+//! target term does not count, even though an earlier answer to this supervisor may have been lost,
+//! because the fence may belong to another supervisor.
 //!
-//! # Planned change of primary
+//! # Switchover
 //!
-//! When the leader's database is leaving, the promotion starts at `record-read`: the leader is in
-//! office, so the other owners would object. It only starts while a database that stays reports the
-//! leader's whole log, and otherwise waits, because fencing a leader that nobody can replace is an
-//! outage for nothing. Among equal logs a database that stays is promoted. If the leaving one has the
-//! longest log after all, it is promoted again, so nothing is lost, and the next try follows 10 s later.
+//! When the leader's database is leaving, the promotion starts at `record-read`: the leader still leads,
+//! so the other owners would object. It starts only while a database that is not leaving reports the
+//! leader's whole log, because fencing a leader that no database can replace is a needless outage.
+//! Among equal logs a database that is not leaving is promoted. If the leaving one has the longest log
+//! after all, it is promoted again, so nothing is lost, and the next attempt follows 10 s later.
 //!
 //! While idle, the supervisor writes the record of its last promotion as soon as the platform answers,
-//! and orders databases that lag behind a confirmed term to follow its leader.
+//! and orders databases that are behind a confirmed term to follow its leader.
 
 use model::{DatabaseRole, LogPosition, Micros, Name, SeededRandom, Term};
 
 use crate::watch::{DatabaseReport, LeaderView};
 
-/// Wait for each place among the supervisors, and for another supervisor's promotion.
-const STEP_WAIT: Micros = Micros::from_secs(3);
-/// Longest wait for the other owners' views.
+/// Time that each supervisor has for a promotion before the next one starts its own.
+const TURN_TIMEOUT: Micros = Micros::from_secs(3);
+/// Longest wait for the views of the other owners.
 const VIEW_TIMEOUT: Micros = Micros::from_millis(300);
-/// A view with a confirmed round younger than this stops the promotion.
-const VIEW_FRESH: Micros = Micros::from_secs(1);
-/// Pause after a promotion, until the watch can confirm it.
-const CONFIRM_PAUSE: Micros = Micros::from_millis(500);
-/// Longest wait for the platform in one attempt.
+/// A view with a confirmed round younger than this blocks the promotion.
+const BLOCKING_VIEW_AGE: Micros = Micros::from_secs(1);
+/// No promotion begins for this long after another, so that the cluster monitor can confirm it.
+const CONFIRM_GRACE: Micros = Micros::from_millis(500);
+/// Longest wait for the platform in one promotion.
 const RECORD_TIMEOUT: Micros = Micros::from_millis(1_500);
-/// For this long after the platform was silent, an attempt does not wait for it.
-const PLATFORM_PAUSE: Micros = Micros::from_secs(10);
+/// After the platform did not answer, promotions do not wait for it during this time.
+const PLATFORM_BACKOFF: Micros = Micros::from_secs(10);
 /// Longest wait for a fence majority.
 const FENCE_TIMEOUT: Micros = Micros::from_millis(500);
-/// Wait for the remaining databases after a majority is fenced. One of them may hold a longer log,
-/// which saves commits that were not durable.
+/// Wait for the remaining databases after a majority is fenced. One of them may hold a longer log, and
+/// promoting it saves commits that were not durable.
 const FENCE_GRACE: Micros = Micros::from_millis(50);
 /// Longest wait for the promoted database.
 const PROMOTE_TIMEOUT: Micros = Micros::from_millis(500);
-/// After which the promotion order is repeated.
-const PROMOTE_REPEAT: Micros = Micros::from_millis(150);
-/// Random backoff before another term: between the first and the sum of both.
-const BACKOFF_LEAST: Micros = Micros::from_millis(100);
-const BACKOFF_SPREAD: Micros = Micros::from_millis(500);
-/// Pause between two tries to write the record of a finished promotion.
-const RECORD_RETRY: Micros = Micros::from_secs(3);
-/// Least time between two tries to move the primary away from a leaving database, so that a try that
-/// cannot succeed does not raise the term again and again.
-const SWITCH_INTERVAL: Micros = Micros::from_secs(10);
-/// Least time between two follow orders to one database.
+/// Time without an answer after which the promotion order is repeated.
+const PROMOTE_REPEAT_INTERVAL: Micros = Micros::from_millis(150);
+/// Backoff before another term: the minimum plus a random part of the jitter.
+const BACKOFF_MIN: Micros = Micros::from_millis(100);
+const BACKOFF_JITTER: Micros = Micros::from_millis(500);
+/// Time between two attempts to write the record of a finished promotion.
+const RECORD_RETRY_INTERVAL: Micros = Micros::from_secs(3);
+/// Shortest time between two switchovers, so that a switchover that cannot succeed does not raise the
+/// term over and over.
+const SWITCHOVER_INTERVAL: Micros = Micros::from_secs(10);
+/// Shortest time between two follow orders to one database.
 const FOLLOW_INTERVAL: Micros = Micros::from_secs(1);
 
 /// Phase that a leader record describes.
@@ -89,12 +90,13 @@
     pub state: RecordState,
 }
 
-/// What happened.
+/// Input of a [`Supervisor`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum SupervisorEvent {
-    /// The watch suspects the primary of `term`. `order` is this node's place among the supervisors.
+    /// The cluster monitor suspects the primary of `term`. `order` is this node's position among the
+    /// supervisors, from 0.
     PrimarySuspected { term: Term, order: u32 },
-    /// The suspicion is over.
+    /// The cluster monitor no longer suspects the primary.
     SuspicionCleared,
     /// The confirmed leader of `term` is leaving and this node owns its database. May be
     /// repeated; see [`Supervisor::set_leaving`].
@@ -105,7 +107,7 @@
     RecordRead { record: Option<LeaderRecord>, index: u64 },
     /// The platform answered a write: whether it was applied.
     RecordWritten { applied: bool },
-    /// The platform did not answer, or the answer is not known.
+    /// The platform did not answer, so the outcome of the call is unknown.
     PlatformFailed,
     /// A database answered a fence; the report is the one after the fence.
     Fenced { database: Name, accepted: bool, report: DatabaseReport },
@@ -113,15 +115,16 @@
     DatabaseFailed { database: Name },
     /// The database leads from `start`.
     Promoted { database: Name, start: LogPosition },
-    /// The watch confirmed a leader.
+    /// The cluster monitor confirmed a leader.
     LeaderConfirmed { term: Term, leader: Name },
-    /// A database reported to the watch; pass on every [`crate::WatchEvent::ReportArrived`].
+    /// A database reported to the cluster monitor. Must be sent for every
+    /// [`crate::WatchEvent::ReportArrived`].
     ReportSeen { database: Name, report: DatabaseReport },
     /// Time passed.
     Timer,
 }
 
-/// What the supervisor asks for.
+/// Action that the driver executes for the supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SupervisorAction {
     AskViews,
@@ -132,7 +135,7 @@
     Follow { database: Name, term: Term, leader: Name },
 }
 
-/// Rules that a test breaks on purpose, to show that the model finds the fault.
+/// Faults that tests inject to show that the model detects them.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SupervisorFaults {
@@ -142,7 +145,7 @@
     pub any_candidate: bool,
 }
 
-/// Where the supervisor is in a promotion.
+/// Step of a promotion, with its deadline.
 #[derive(Clone, Debug, PartialEq)]
 enum PromotionStep {
     Idle,
@@ -150,17 +153,17 @@
     Views { until: Micros },
     RecordRead { until: Micros },
     RecordWrite { until: Micros },
-    Other { until: Micros },
+    AwaitingOther { until: Micros },
     Fencing { until: Micros, accepted: Vec<(Name, DatabaseReport)>, answered: Vec<Name> },
     Promoting { until: Micros, repeat_at: Micros, database: Name, others: Vec<Name> },
     Backoff { until: Micros },
 }
 
-/// Write of the record of a finished promotion.
+/// Record of a finished promotion that has yet to be written.
 #[derive(Clone, Debug, PartialEq)]
-struct RecordTask {
+struct PendingRecord {
     record: LeaderRecord,
-    /// When to read next, also if the platform never answers.
+    /// When to read the current record next, also if the platform never answers.
     due: Micros,
     /// The answer to a read is awaited.
     reading: bool,
@@ -168,17 +171,17 @@
     writing: bool,
 }
 
-/// What is known of a database that should follow.
+/// Last report of a database, to find out whether it follows the leader.
 #[derive(Clone, Debug)]
 struct FollowState {
     database: Name,
     report: DatabaseReport,
     /// When its received position last changed.
-    moved_at: Micros,
+    received_changed_at: Micros,
     ordered_at: Option<Micros>,
 }
 
-/// Orders promotions of one cluster.
+/// Orders the promotions of one cluster.
 ///
 /// ```
 /// use failover::{Supervisor, SupervisorAction, SupervisorEvent};
@@ -202,25 +205,26 @@
     /// Term of the promotion in progress.
     target: Term,
     /// Highest term seen in any message.
-    highest: Term,
+    highest_term: Term,
     suspected: bool,
-    /// A new promotion is not begun before this time.
+    /// No promotion begins before this time.
     paused_until: Micros,
-    platform_silent_until: Micros,
-    /// End of the time for the platform in the current attempt.
-    record_until: Micros,
-    /// Databases whose view arrived in the current attempt.
-    views: Vec<Name>,
-    record_task: Option<RecordTask>,
-    /// A write was given up before its answer arrived. The answer may still come, and would look like
-    /// the one to a later write, so a task then ends only by a read.
+    /// Promotions do not wait for the platform before this time.
+    platform_retry_at: Micros,
+    /// End of the wait for the platform in the current promotion.
+    platform_deadline: Micros,
+    /// Owners whose view arrived, or that could not be asked, in the current promotion.
+    answered_owners: Vec<Name>,
+    pending_record: Option<PendingRecord>,
+    /// A write was abandoned before its answer arrived. The late answer could be mistaken for that to a
+    /// later write, so only a read then shows that a pending record was written.
     write_abandoned: bool,
     leader: Option<(Term, Name)>,
     followers: Vec<FollowState>,
     /// Databases that are not promoted while another one has an equal log.
     leaving: Vec<Name>,
-    /// When the last planned change of primary began.
-    switched_at: Option<Micros>,
+    /// When the last switchover began.
+    switchover_at: Option<Micros>,
 }
 
 impl Supervisor {
@@ -233,29 +237,29 @@
             random: SeededRandom::new(seed),
             step: PromotionStep::Idle,
             target: Term(0),
-            highest: Term(0),
+            highest_term: Term(0),
             suspected: false,
             paused_until: Micros::ZERO,
-            platform_silent_until: Micros::ZERO,
-            record_until: Micros::ZERO,
-            views: Vec::new(),
-            record_task: None,
+            platform_retry_at: Micros::ZERO,
+            platform_deadline: Micros::ZERO,
+            answered_owners: Vec::new(),
+            pending_record: None,
             write_abandoned: false,
             leader: None,
             followers: Vec::new(),
             leaving: Vec::new(),
-            switched_at: None,
+            switchover_at: None,
         }
     }
 
-    /// Breaks rules, for tests of the model.
+    /// Injects faults, for tests of the model.
     #[doc(hidden)]
     pub fn set_faults(&mut self, faults: SupervisorFaults) {
         self.faults = faults;
     }
 
-    /// Takes over a changed list of databases. A promotion in progress is given up, because its
-    /// majority was counted in the old list; the next suspicion starts another.
+    /// Replaces the list of databases. A promotion in progress is abandoned, because its majority was
+    /// counted in the old list; the next suspicion starts another.
     pub fn set_databases(&mut self, databases: Vec<Name>) {
         if self.databases == databases {
             return;
@@ -265,7 +269,7 @@
         self.followers.retain(|follower| self.databases.contains(&follower.database));
     }
 
-    /// Takes over the list of databases that are leaving. They are not promoted while another database
+    /// Replaces the list of databases that are leaving. They are not promoted while another database
     /// of the fenced majority has an equal log.
     pub fn set_leaving(&mut self, leaving: Vec<Name>) {
         self.leaving = leaving;
@@ -273,8 +277,8 @@
 
     /// Handles an event. `now` must not decrease between calls.
     ///
-    /// Answers of the platform and of databases need not carry the step they belong to: an answer that
-    /// does not fit the current step is ignored.
+    /// Answers of the platform and of databases do not name the step that they belong to: an answer
+    /// that does not fit the current step is ignored.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -288,15 +292,15 @@
         let writing = self.awaits_write();
         match event {
             SupervisorEvent::PrimarySuspected { term, order } => {
-                self.see_term(term);
+                self.observe_term(term);
                 self.suspected = true;
                 if self.step == PromotionStep::Idle && now >= self.paused_until {
-                    let until = now + Micros(STEP_WAIT.0 * u64::from(order));
+                    let until = now + Micros(TURN_TIMEOUT.0 * u64::from(order));
                     self.step = PromotionStep::Waiting { until };
                 } else if let PromotionStep::Waiting { until } = &mut self.step {
-                    // The place may have become a better one since.
-                    let better = now + Micros(STEP_WAIT.0 * u64::from(order));
-                    *until = (*until).min(better.max(self.paused_until));
+                    // This node may have moved up among the supervisors since.
+                    let earlier = now + Micros(TURN_TIMEOUT.0 * u64::from(order));
+                    *until = (*until).min(earlier.max(self.paused_until));
                 }
             }
             SupervisorEvent::SuspicionCleared => {
@@ -305,26 +309,28 @@
                     self.step = PromotionStep::Idle;
                 }
             }
-            SupervisorEvent::LeaderLeaving { term } => self.move_leader(now, term, actions),
+            SupervisorEvent::LeaderLeaving { term } => self.begin_switchover(now, term, actions),
             SupervisorEvent::ViewArrived { from, view } => {
-                self.take_view(now, from, view, actions);
+                self.handle_view(now, from, view, actions);
             }
             SupervisorEvent::RecordRead { record, index } => {
-                self.take_record(now, record, index, actions);
+                self.handle_record(now, record, index, actions);
             }
-            SupervisorEvent::RecordWritten { applied } => self.take_write(now, applied, actions),
-            SupervisorEvent::PlatformFailed => self.take_platform_failure(now, actions),
+            SupervisorEvent::RecordWritten { applied } => {
+                self.handle_write_result(now, applied, actions)
+            }
+            SupervisorEvent::PlatformFailed => self.handle_platform_failure(now, actions),
             SupervisorEvent::Fenced { database, accepted, report } => {
-                self.take_fence(now, database, accepted, report, actions);
+                self.handle_fence_answer(now, database, accepted, report, actions);
             }
             SupervisorEvent::DatabaseFailed { database } => {
-                self.take_failure(now, database, actions);
+                self.handle_database_failure(now, database, actions);
             }
             SupervisorEvent::Promoted { database, start } => {
-                self.take_promotion(now, &database, start, actions);
+                self.handle_promoted(now, &database, start, actions);
             }
             SupervisorEvent::LeaderConfirmed { term, leader } => {
-                self.see_term(term);
+                self.observe_term(term);
                 if self.leader.as_ref().is_none_or(|(known, _)| *known < term) {
                     self.leader = Some((term, leader));
                 }
@@ -334,7 +340,7 @@
                 }
             }
             SupervisorEvent::ReportSeen { database, report } => {
-                self.take_report(now, database, report, actions);
+                self.handle_report(now, database, report, actions);
             }
             SupervisorEvent::Timer => {}
         }
@@ -346,7 +352,7 @@
 
     fn awaits_write(&self) -> bool {
         matches!(self.step, PromotionStep::RecordWrite { .. })
-            || self.record_task.as_ref().is_some_and(|task| task.writing)
+            || self.pending_record.as_ref().is_some_and(|pending| pending.writing)
     }
 
     /// Returns when the next [`SupervisorEvent::Timer`] is due.
@@ -357,13 +363,13 @@
             | PromotionStep::Views { until }
             | PromotionStep::RecordRead { until }
             | PromotionStep::RecordWrite { until }
-            | PromotionStep::Other { until }
+            | PromotionStep::AwaitingOther { until }
             | PromotionStep::Fencing { until, .. }
             | PromotionStep::Backoff { until } => Some(*until),
             PromotionStep::Promoting { until, repeat_at, .. } => Some((*until).min(*repeat_at)),
         };
-        let record = match (&self.step, &self.record_task) {
-            (PromotionStep::Idle, Some(task)) => Some(task.due),
+        let record = match (&self.step, &self.pending_record) {
+            (PromotionStep::Idle, Some(pending)) => Some(pending.due),
             _ => None,
         };
         step.into_iter().chain(record).min()
@@ -377,7 +383,7 @@
             PromotionStep::Views { .. } => "views",
             PromotionStep::RecordRead { .. } => "record-read",
             PromotionStep::RecordWrite { .. } => "record-write",
-            PromotionStep::Other { .. } => "other",
+            PromotionStep::AwaitingOther { .. } => "other",
             PromotionStep::Fencing { .. } => "fencing",
             PromotionStep::Promoting { .. } => "promoting",
             PromotionStep::Backoff { .. } => "backoff",
@@ -389,8 +395,8 @@
         self.target
     }
 
-    fn see_term(&mut self, term: Term) {
-        self.highest = self.highest.max(term);
+    fn observe_term(&mut self, term: Term) {
+        self.highest_term = self.highest_term.max(term);
     }
 
     fn has_fenced(&self) -> bool {
@@ -402,16 +408,16 @@
     }
 
     fn back_off(&mut self, now: Micros) {
-        let spread = Micros(self.random.below(BACKOFF_SPREAD.0));
-        self.step = PromotionStep::Backoff { until: now + BACKOFF_LEAST + spread };
+        let spread = Micros(self.random.below(BACKOFF_JITTER.0));
+        self.step = PromotionStep::Backoff { until: now + BACKOFF_MIN + spread };
     }
 
-    /// Runs the steps whose time has come.
+    /// Advances the step whose deadline has passed.
     fn advance(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         match &mut self.step {
-            PromotionStep::Idle => self.advance_record_task(now, actions),
+            PromotionStep::Idle => self.advance_pending_record(now, actions),
             PromotionStep::Waiting { until } if now >= *until => {
-                self.views.clear();
+                self.answered_owners.clear();
                 self.step = PromotionStep::Views { until: now + VIEW_TIMEOUT };
                 actions.push(SupervisorAction::AskViews);
             }
@@ -419,13 +425,15 @@
             PromotionStep::RecordRead { until } | PromotionStep::RecordWrite { until }
                 if now >= *until =>
             {
-                self.platform_silent_until = now + PLATFORM_PAUSE;
-                self.begin_fence(now, actions);
+                self.platform_retry_at = now + PLATFORM_BACKOFF;
+                self.begin_fencing(now, actions);
             }
-            // The other owners are asked again: the other supervisor may have succeeded.
-            PromotionStep::Other { until } | PromotionStep::Backoff { until } if now >= *until => {
+            // Asks the other owners again: another supervisor may have succeeded.
+            PromotionStep::AwaitingOther { until } | PromotionStep::Backoff { until }
+                if now >= *until =>
+            {
                 if self.suspected {
-                    self.views.clear();
+                    self.answered_owners.clear();
                     self.step = PromotionStep::Views { until: now + VIEW_TIMEOUT };
                     actions.push(SupervisorAction::AskViews);
                 } else {
@@ -441,7 +449,7 @@
             }
             PromotionStep::Promoting { until, .. } if now >= *until => self.back_off(now),
             PromotionStep::Promoting { repeat_at, database, .. } if now >= *repeat_at => {
-                *repeat_at = now + PROMOTE_REPEAT;
+                *repeat_at = now + PROMOTE_REPEAT_INTERVAL;
                 let database = database.clone();
                 actions.push(SupervisorAction::Promote { database, term: self.target });
             }
@@ -449,7 +457,7 @@
         }
     }
 
-    fn take_view(
+    fn handle_view(
         &mut self,
         now: Micros,
         from: Name,
@@ -458,27 +466,27 @@
     ) {
         let PromotionStep::Views { .. } = self.step else { return };
         if let Some(view) = view {
-            self.see_term(view.term);
-            if let Some(ago) = view.confirmed_ago.filter(|ago| *ago < VIEW_FRESH) {
-                // Asks again as soon as this view would no longer stop the promotion.
-                let until = now + (VIEW_FRESH - ago);
+            self.observe_term(view.term);
+            if let Some(ago) = view.confirmed_ago.filter(|ago| *ago < BLOCKING_VIEW_AGE) {
+                // Asks again as soon as this view no longer blocks the promotion.
+                let until = now + (BLOCKING_VIEW_AGE - ago);
                 self.paused_until = until;
                 self.step = PromotionStep::Waiting { until };
                 return;
             }
         }
-        if !self.views.contains(&from) {
-            self.views.push(from);
+        if !self.answered_owners.contains(&from) {
+            self.answered_owners.push(from);
         }
-        if self.views.len() + 1 >= self.databases.len() {
+        if self.answered_owners.len() + 1 >= self.databases.len() {
             self.begin_record(now, actions);
         }
     }
 
-    /// Begins a planned change of primary if a database that stays holds the leader's whole log.
-    fn move_leader(&mut self, now: Micros, term: Term, actions: &mut Vec<SupervisorAction>) {
+    /// Begins a switchover if a database that is not leaving holds the leader's whole log.
+    fn begin_switchover(&mut self, now: Micros, term: Term, actions: &mut Vec<SupervisorAction>) {
         let Some((led, leader)) = &self.leader else { return };
-        let due = self.switched_at.is_none_or(|at| now >= at + SWITCH_INTERVAL);
+        let due = self.switchover_at.is_none_or(|at| now >= at + SWITCHOVER_INTERVAL);
         let idle = self.step == PromotionStep::Idle && now >= self.paused_until;
         if *led != term || !self.leaving.contains(leader) || !due || !idle {
             return;
@@ -493,24 +501,24 @@
                 && (follower.report.log_term, follower.report.received) == log
         });
         if ready {
-            self.switched_at = Some(now);
+            self.switchover_at = Some(now);
             self.begin_record(now, actions);
         }
     }
 
     fn begin_record(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
-        self.record_task = None;
-        self.target = self.highest.next();
-        if now < self.platform_silent_until {
-            self.begin_fence(now, actions);
+        self.pending_record = None;
+        self.target = self.highest_term.next();
+        if now < self.platform_retry_at {
+            self.begin_fencing(now, actions);
             return;
         }
-        self.record_until = now + RECORD_TIMEOUT;
-        self.step = PromotionStep::RecordRead { until: self.record_until };
+        self.platform_deadline = now + RECORD_TIMEOUT;
+        self.step = PromotionStep::RecordRead { until: self.platform_deadline };
         actions.push(SupervisorAction::ReadRecord);
     }
 
-    fn take_record(
+    fn handle_record(
         &mut self,
         now: Micros,
         record: Option<LeaderRecord>,
@@ -522,74 +530,79 @@
                 let own = matches!(&record.state, RecordState::Electing { by } if *by == self.node);
                 if own && record.term == self.target {
                     // The write was applied and its answer lost.
-                    self.begin_fence(now, actions);
+                    self.begin_fencing(now, actions);
                     return;
                 }
-                // A record that was not known when the promotion began belongs to another supervisor.
-                let news = record.term >= self.target;
-                self.see_term(record.term);
-                if news && !own {
-                    self.step = PromotionStep::Other { until: now + STEP_WAIT };
+                // A record that appeared after the promotion began belongs to another supervisor.
+                let unseen = record.term >= self.target;
+                self.observe_term(record.term);
+                if unseen && !own {
+                    self.step = PromotionStep::AwaitingOther { until: now + TURN_TIMEOUT };
                     return;
                 }
             }
-            self.target = self.highest.next();
+            self.target = self.highest_term.next();
             self.step = PromotionStep::RecordWrite { until };
             let state = RecordState::Electing { by: self.node.clone() };
             let record = LeaderRecord { term: self.target, state };
             actions.push(SupervisorAction::WriteRecord { expected_index: index, record });
-        } else if let Some(task) = &mut self.record_task
-            && std::mem::take(&mut task.reading)
+        } else if let Some(pending) = &mut self.pending_record
+            && std::mem::take(&mut pending.reading)
         {
-            let settled =
-                record.is_some_and(|found| found.term > task.record.term || found == task.record);
-            if settled {
-                self.record_task = None;
+            let written = record
+                .is_some_and(|found| found.term > pending.record.term || found == pending.record);
+            if written {
+                self.pending_record = None;
                 self.write_abandoned = false;
             } else {
-                task.writing = true;
-                let record = task.record.clone();
+                pending.writing = true;
+                let record = pending.record.clone();
                 actions.push(SupervisorAction::WriteRecord { expected_index: index, record });
             }
         }
     }
 
-    fn take_write(&mut self, now: Micros, applied: bool, actions: &mut Vec<SupervisorAction>) {
+    fn handle_write_result(
+        &mut self,
+        now: Micros,
+        applied: bool,
+        actions: &mut Vec<SupervisorAction>,
+    ) {
         if let PromotionStep::RecordWrite { until } = self.step {
             if applied {
-                self.begin_fence(now, actions);
+                self.begin_fencing(now, actions);
             } else {
                 self.step = PromotionStep::RecordRead { until };
                 actions.push(SupervisorAction::ReadRecord);
             }
-        } else if let Some(task) = &mut self.record_task
-            && std::mem::take(&mut task.writing)
+        } else if let Some(pending) = &mut self.pending_record
+            && std::mem::take(&mut pending.writing)
             && applied
         {
-            // Without an answer, or on a conflict, the task reads again when it is due.
+            // Without an answer, or on a conflict, the record is read again when it is due.
             if self.write_abandoned {
-                task.due = now;
+                pending.due = now;
             } else {
-                self.record_task = None;
+                self.pending_record = None;
             }
         }
     }
 
-    fn take_platform_failure(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
+    fn handle_platform_failure(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         match self.step {
             PromotionStep::RecordRead { .. } => {
-                self.platform_silent_until = now + PLATFORM_PAUSE;
-                self.begin_fence(now, actions);
+                self.platform_retry_at = now + PLATFORM_BACKOFF;
+                self.begin_fencing(now, actions);
             }
             PromotionStep::RecordWrite { until } => {
-                // The write may have been applied; a read tells, in the time that is left.
+                // The write may have been applied; a read in the remaining time shows whether it was.
                 self.step = PromotionStep::RecordRead { until };
                 actions.push(SupervisorAction::ReadRecord);
             }
             _ => {
-                // The failure may be that of an earlier call, with this write still on its way.
-                if let Some(task) = &mut self.record_task
-                    && std::mem::take(&mut task.writing)
+                // The failure may belong to an earlier call while this write is still in flight.
+                if let Some(pending) = &mut self.pending_record
+                    && std::mem::take(&mut pending.writing)
                 {
                     self.write_abandoned = true;
                 }
@@ -597,9 +610,9 @@
         }
     }
 
-    fn begin_fence(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
-        self.target = self.target.max(self.highest.next());
-        self.see_term(self.target);
+    fn begin_fencing(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
+        self.target = self.target.max(self.highest_term.next());
+        self.observe_term(self.target);
         self.step = PromotionStep::Fencing {
             until: now + FENCE_TIMEOUT,
             accepted: Vec::new(),
@@ -614,7 +627,7 @@
         }
     }
 
-    fn take_fence(
+    fn handle_fence_answer(
         &mut self,
         now: Micros,
         database: Name,
@@ -622,14 +635,14 @@
         report: DatabaseReport,
         actions: &mut Vec<SupervisorAction>,
     ) {
-        self.see_term(report.term);
+        self.observe_term(report.term);
         let (majority, count, target) = (self.majority(), self.databases.len(), self.target);
         let PromotionStep::Fencing { until, accepted, answered } = &mut self.step else { return };
         if report.term > target {
             if report.role == DatabaseRole::Primary {
-                // A newer term has its leader; the watch will confirm it.
+                // A newer term has a leader; the cluster monitor will confirm it.
                 self.step = PromotionStep::Idle;
-                self.paused_until = now + CONFIRM_PAUSE;
+                self.paused_until = now + CONFIRM_GRACE;
             } else {
                 self.back_off(now);
             }
@@ -648,11 +661,11 @@
             }
         }
         let (accepted, answered) = (accepted.len(), answered.len());
-        self.finish_fence(now, accepted, answered, majority, count, actions);
+        self.finish_fencing(now, accepted, answered, majority, count, actions);
     }
 
-    /// Goes on once every database has answered.
-    fn finish_fence(
+    /// Ends the step once every database has answered.
+    fn finish_fencing(
         &mut self,
         now: Micros,
         accepted: usize,
@@ -681,24 +694,29 @@
         let others = self.databases.iter().filter(|name| **name != database).cloned().collect();
         self.step = PromotionStep::Promoting {
             until: now + PROMOTE_TIMEOUT,
-            repeat_at: now + PROMOTE_REPEAT,
+            repeat_at: now + PROMOTE_REPEAT_INTERVAL,
             database: database.clone(),
             others,
         };
         actions.push(SupervisorAction::Promote { database, term: self.target });
     }
 
-    fn take_failure(&mut self, now: Micros, database: Name, actions: &mut Vec<SupervisorAction>) {
+    fn handle_database_failure(
+        &mut self,
+        now: Micros,
+        database: Name,
+        actions: &mut Vec<SupervisorAction>,
+    ) {
         let (majority, count) = (self.majority(), self.databases.len());
         let PromotionStep::Fencing { accepted, answered, .. } = &mut self.step else { return };
         if self.databases.contains(&database) && !answered.contains(&database) {
             answered.push(database);
             let (accepted, answered) = (accepted.len(), answered.len());
-            self.finish_fence(now, accepted, answered, majority, count, actions);
+            self.finish_fencing(now, accepted, answered, majority, count, actions);
         }
     }
 
-    fn take_promotion(
+    fn handle_promoted(
         &mut self,
         now: Micros,
         promoted: &Name,
@@ -719,50 +737,51 @@
         }
         let state = RecordState::Leading { leader, start };
         let record = LeaderRecord { term: self.target, state };
-        self.record_task = Some(RecordTask { record, due: now, reading: false, writing: false });
-        self.paused_until = now + CONFIRM_PAUSE;
+        self.pending_record =
+            Some(PendingRecord { record, due: now, reading: false, writing: false });
+        self.paused_until = now + CONFIRM_GRACE;
         self.step = PromotionStep::Idle;
     }
 
-    /// Reads the record, so that the leading record can be written at its index.
-    fn advance_record_task(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
-        if let Some(task) = &mut self.record_task
-            && now >= task.due
+    /// Reads the current record when due; its index is needed to write the pending one.
+    fn advance_pending_record(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
+        if let Some(pending) = &mut self.pending_record
+            && now >= pending.due
         {
-            task.due = now + RECORD_RETRY;
-            task.reading = true;
+            pending.due = now + RECORD_RETRY_INTERVAL;
+            pending.reading = true;
             actions.push(SupervisorAction::ReadRecord);
         }
     }
 
-    /// Takes a report of a round, which may show that the database does not follow the leader.
-    fn take_report(
+    /// Handles a report, which may show that the database does not follow the leader.
+    fn handle_report(
         &mut self,
         now: Micros,
         database: Name,
         report: DatabaseReport,
         actions: &mut Vec<SupervisorAction>,
     ) {
-        self.see_term(report.term);
+        self.observe_term(report.term);
         if let PromotionStep::Promoting { .. } = self.step
             && report.term > self.target
         {
-            // Another supervisor fenced a higher term; the order would be refused.
+            // Another supervisor fenced a higher term, so the promotion order would be refused.
             self.back_off(now);
         }
         if self.databases.contains(&database) {
-            let index = self.note_report(now, &database, report);
+            let index = self.store_report(now, &database, report);
             self.order_follow(now, index, actions);
         }
     }
 
-    /// Keeps the report and when its log last grew; returns the place in the list of followers.
-    fn note_report(&mut self, now: Micros, database: &Name, report: DatabaseReport) -> usize {
+    /// Stores the report and when its received position last changed; returns its index in `followers`.
+    fn store_report(&mut self, now: Micros, database: &Name, report: DatabaseReport) -> usize {
         let known = self.followers.iter().position(|follower| follower.database == *database);
         if let Some(index) = known {
             let follower = &mut self.followers[index];
             if follower.report.received != report.received {
-                follower.moved_at = now;
+                follower.received_changed_at = now;
             }
             follower.report = report;
             return index;
@@ -770,7 +789,7 @@
         self.followers.push(FollowState {
             database: database.clone(),
             report,
-            moved_at: now,
+            received_changed_at: now,
             ordered_at: None,
         });
         self.followers.len() - 1
@@ -779,7 +798,8 @@
     /// Orders a database to follow the confirmed leader if its report shows that it does not.
     fn order_follow(&mut self, now: Micros, index: usize, actions: &mut Vec<SupervisorAction>) {
         let Some((term, leader)) = self.leader.clone() else { return };
-        let FollowState { database, report, moved_at, ordered_at } = self.followers[index].clone();
+        let FollowState { database, report, received_changed_at, ordered_at } =
+            self.followers[index].clone();
         if leader == database || report.term > term || self.step != PromotionStep::Idle {
             return;
         }
@@ -787,12 +807,12 @@
         let head = followers.find(|other| other.database == leader && other.report.term == term);
         // Behind without progress: the follow order was lost. Longer than the leader's log: it holds
         // entries that it should have discarded.
-        let still = now.saturating_sub(moved_at) >= FOLLOW_INTERVAL;
+        let unchanged = now.saturating_sub(received_changed_at) >= FOLLOW_INTERVAL;
         let stuck = head.is_some_and(|head| {
             let behind =
                 report.log_term < head.report.log_term || report.received < head.report.received;
             let ahead = report.received > head.report.received && report.log_term < term;
-            still && (behind || ahead)
+            unchanged && (behind || ahead)
         });
         let due = ordered_at.is_none_or(|at| now >= at + FOLLOW_INTERVAL);
         if (report.term < term || stuck) && due {
