--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -4,14 +4,14 @@
 //! promotions. Both are state machines without clock or sockets: the driver executes their actions and
 //! passes in the time of its monotonic clock.
 
+mod monitor;
 mod supervisor;
-mod watch;
 
 pub use model::DatabaseRole;
+pub use monitor::{
+    ClusterWatch, CommitId, DatabaseReport, FloorState, LeaderView, MonitorFaults, TermStart,
+    WatchAction, WatchConfig, WatchEvent,
+};
 pub use supervisor::{
     LeaderRecord, RecordState, Supervisor, SupervisorAction, SupervisorEvent, SupervisorFaults,
 };
-pub use watch::{
-    ClusterWatch, CommitId, DatabaseReport, FloorState, LeaderView, TermStart, WatchAction,
-    WatchConfig, WatchEvent, WatchFaults,
-};
--- a/crates/failover/src/watch.rs
+++ b/crates/failover/src/monitor.rs
@@ -1,6 +1,6 @@
-//! Rounds of reports from the databases of one cluster.
+//! Monitors one cluster's databases in report rounds.
 //!
-//! # Contract of the databases
+//! # What the databases guarantee
 //!
 //! The term of a database never decreases. A fence or a follow order raises it; a fenced database
 //! reports [`DatabaseRole::Replica`] until it is promoted. A database of term T accepts log only from
@@ -11,7 +11,7 @@
 //! # Invariants
 //!
 //! **Confirmed round.** Every report of round R is a sample taken after R began, because the request
-//! is sent after the begin; this also holds for a database that joins R late. If a majority, the
+//! is sent after the begin; this also holds for a database that is asked later in R. If a majority, the
 //! primary of T among it, reports T, then no majority had accepted a term above T when R began: such a
 //! majority shares a database with the reporting one, and that database's term would be above T. So a
 //! commit of term T whose answer arrived before R began was made while the primary of T was in office.
@@ -25,8 +25,8 @@
 //! position N at or past the commit. A later (or the same) confirmed round of the same term in which a
 //! majority of databases *on the primary's log* received N proves that the commit survives: any later
 //! fence majority contains one of them, the fence keeps it from discarding the entry, and the fenced
-//! database with the highest (log term, received) is promoted, so its log contains N. N stays the same
-//! over later rounds, so steady writing does not postpone the acknowledgement.
+//! database with the highest (log term, received) is promoted, so its log contains N. N does not change
+//! in later rounds, so continuous writes do not postpone the acknowledgement.
 //!
 //! **On the primary's log.** Positions alone do not compare logs: a database may hold entries of a lost
 //! suffix of an older term. All entries of one term come from one primary, so a database whose last
@@ -38,17 +38,17 @@
 //! committed before t is at or below L. A database on the primary's log with an applied position at or
 //! past L holds it. Dropping a sample makes the provable age only larger.
 //!
-//! **Session floors.** Position p of term F is part of the log of T if p is at or below the start of
-//! each term whose entries lie between F and T in the log of T's primary. That needs the start of each
-//! of these terms and the term of the last entry before it, which the primary reports. If F has no
-//! entry in that log, or p is past one of the starts, the write was lost. If the watch was not there
-//! for a term between (a new owner, or a paused one), the answer is uncertain: the replacement floor,
-//! the start of the current term, covers the write if it survived, but whether it did is not known.
-//! A floor at or before the start of its own term is one of the term before, because it needs no entry
-//! of its own term. The position of a floor is the primary's at the acknowledging round, so it may be
-//! past the write: "lost" means that the log up to that position was lost in part.
-//! "Met" describes the database when it was sampled; as with the data age, the caller checks again when
-//! the response starts.
+//! **Required positions.** A session's reads require a position p of term F. It is part of the log of T if
+//! p is at or below the start of each term whose entries lie between F and T in the log of T's primary.
+//! That needs the start of each of these terms and the term of the last entry before it, which the
+//! primary reports. If F has no entry in that log, or p is past one of the starts, the write was lost. If
+//! the monitor missed a term between (it belongs to a new owner, or was paused), the answer is
+//! uncertain: the replacement, the start of the current term, covers the write if it survived, but
+//! whether it did is not known. A position at or before the start of its own term belongs to the term
+//! before, because it needs no entry of its own term. The position is the primary's at the
+//! acknowledging round, so it may be past the write: "lost" means that a part of the log up to that
+//! position was lost. "Met" describes the database when it was sampled; as with the data age, the driver
+//! checks again when the response starts.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -65,9 +65,9 @@
     pub role: DatabaseRole,
     /// Term of the last log entry.
     pub log_term: Term,
-    /// Log stored, though perhaps not applied.
+    /// Log position stored, though perhaps not applied.
     pub received: LogPosition,
-    /// Log visible to reads.
+    /// Log position visible to reads.
     pub applied: LogPosition,
     /// Where this database's current term began, if it is the primary.
     pub term_start: LogPosition,
@@ -75,16 +75,16 @@
     pub previous_term: Term,
 }
 
-/// Intervals and limits of a watch.
+/// Intervals and timeouts of a cluster monitor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchConfig {
-    /// Between rounds while no commit waits.
+    /// Time between rounds while no commit waits.
     pub idle_interval: Micros,
-    /// After which a report counts as failed.
+    /// Time after which a report counts as failed.
     pub report_timeout: Micros,
-    /// Without a report of the primary for this long, it is suspected.
+    /// Time without a report of the primary after which it is suspected.
     pub suspect_after: Micros,
-    /// After which a commit's outcome is unknown.
+    /// Time after which the outcome of an unacknowledged commit is unknown.
     pub acknowledge_timeout: Micros,
 }
 
@@ -99,29 +99,29 @@
     }
 }
 
-/// What happened.
+/// Input of a [`ClusterWatch`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// A database answered the report request of a round.
     ReportArrived { database: Name, round: u64, report: DatabaseReport },
     /// The report connection of a database failed.
     ReportFailed { database: Name, round: u64 },
-    /// The primary answered a commit; the caller waits for the acknowledgement.
+    /// The primary answered a commit; the client waits for the acknowledgement.
     CommitFinished { commit: CommitId, term: Term, durable: bool },
     /// Time passed.
     Timer,
 }
 
-/// What the watch asks for.
+/// Action that the driver executes for the monitor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchAction {
     /// Send a report request.
     AskReport { database: Name, round: u64 },
-    /// The commit may be acknowledged; `floor` covers it.
+    /// The commit may be acknowledged; `floor` is the position that covers it.
     Acknowledge { commit: CommitId, floor: SessionFloor },
     /// The outcome of the commit is unknown.
     OutcomeUnknown { commit: CommitId },
-    /// A term opened with a new leader.
+    /// A round confirmed a new term and its leader.
     LeaderChanged { term: Term, leader: Name },
     /// The primary is suspected; repeated with every timer while it is.
     PrimarySuspected { term: Term },
@@ -129,21 +129,21 @@
     SuspicionCleared,
 }
 
-/// How a database stands to a session floor.
+/// Whether a database holds the position that a session requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FloorState {
-    /// The database holds the state.
+    /// The database has applied the position.
     Met,
     /// Not yet, or not known.
     NotYet,
-    /// The write was lost in a change of primary; the floor to use instead.
+    /// The write was lost in a failover; `instead` replaces the required position.
     Lost { instead: SessionFloor },
-    /// The watch does not know whether the write survived several changes of primary. `instead` covers
-    /// it if it did.
+    /// The monitor does not know whether the write survived several failovers. `instead` covers it if
+    /// it did.
     Uncertain { instead: SessionFloor },
 }
 
-/// A pool owner's view, which another supervisor asks for.
+/// An owner's view of the leader, sent to other supervisors on request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderView {
     pub term: Term,
@@ -153,20 +153,22 @@
 }
 
 /// Longest data age for which samples are kept.
-const SAMPLE_SPAN: Micros = Micros::from_secs(60);
-/// Samples kept for each cluster. Thinning leaves at most two for each gap, 230 over the whole span.
-const SAMPLE_LIMIT: usize = 256;
-/// Samples are thinned to gaps of this,
-const SAMPLE_GAP: Micros = Micros::from_millis(8);
-/// or of their age divided by this, whichever is longer.
-const SAMPLE_PRECISION: u64 = 16;
-/// Terms whose start is remembered. With two changes a day this covers a month.
-const TERM_LIMIT: usize = 64;
-/// Pause between rounds when no commit is new, so a lagging replica is not polled at line speed.
-const RETRY_INTERVAL: Micros = Micros::from_millis(5);
-/// Pause before a database whose report failed is asked again, so that a refused connection is not
+const SAMPLE_RETENTION: Micros = Micros::from_secs(60);
+/// Most samples kept for each cluster. Thinning leaves at most two for each gap, 230 over the whole
+/// retention time.
+const MAX_SAMPLES: usize = 256;
+/// Shortest gap that samples are thinned to.
+const MIN_SAMPLE_GAP: Micros = Micros::from_millis(8);
+/// Older samples are thinned to gaps of their age divided by this, if that is longer.
+const SAMPLE_GAP_DIVISOR: u64 = 16;
+/// Most terms whose start is kept. With two promotions a day this covers a month.
+const MAX_TERM_STARTS: usize = 64;
+/// Time between rounds while only commits of earlier rounds wait, so that a lagging replica is not polled
+/// without pause.
+const ROUND_RETRY_INTERVAL: Micros = Micros::from_millis(5);
+/// Time before a database whose report failed is asked again, so that a refused connection is not
 /// retried with every commit.
-const FAILURE_PAUSE: Micros = Micros::from_millis(100);
+const REPORT_RETRY_BACKOFF: Micros = Micros::from_millis(100);
 
 /// Where a term began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -174,32 +176,32 @@
     /// Position at which the term's first entry is written.
     pub start: LogPosition,
     /// Term of the last entry before `start`.
-    pub previous: Term,
+    pub previous_term: Term,
 }
 
-/// What became of the write behind a session floor.
+/// Whether the log up to a required position survived the promotions since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FloorFate {
-    Kept,
+enum LogSurvival {
+    Survived,
     Lost,
     Unknown,
 }
 
-/// Rules that a test breaks on purpose, to show that the model finds the fault.
+/// Faults that tests inject to show that the model detects them.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WatchFaults {
+pub struct MonitorFaults {
     /// Acknowledges a commit on a round that began before the commit finished.
     pub early_round: bool,
     /// Confirms a round with the primary's report alone.
     pub no_majority: bool,
-    /// Takes the primary's word for a durable acknowledgement.
+    /// Acknowledges durable commits without proof that a majority received them.
     pub no_receipt: bool,
     /// Compares positions without regard to terms.
     pub ignore_lineage: bool,
 }
 
-/// One round: requests sent at or after `began`, and their answers.
+/// A report round: requests sent at or after `began`, and their answers.
 #[derive(Debug)]
 struct ReportRound {
     number: u64,
@@ -215,7 +217,7 @@
     position: LogPosition,
 }
 
-/// State of the report connection of one database.
+/// State of the report requests to one database.
 #[derive(Debug)]
 struct DatabaseState {
     name: Name,
@@ -250,16 +252,16 @@
     covered_by: Option<LogPosition>,
 }
 
-/// Evidence about one cluster.
+/// Collects leadership and data-age proofs about one cluster.
 ///
 /// ```
 /// use failover::*;
 /// use model::{LogPosition, Micros, Name, Term};
 ///
 /// let names = ["a", "b", "c"].map(Name::from).to_vec();
-/// let mut watch = ClusterWatch::new(WatchConfig::default(), names);
+/// let mut monitor = ClusterWatch::new(WatchConfig::default(), names);
 /// let mut actions = Vec::new();
-/// watch.handle(Micros(1), WatchEvent::Timer, &mut actions);
+/// monitor.handle(Micros(1), WatchEvent::Timer, &mut actions);
 /// assert_eq!(actions.len(), 3); // One request to each database.
 /// actions.clear();
 /// for (name, role) in [("a", DatabaseRole::Primary), ("b", DatabaseRole::Replica)] {
@@ -273,17 +275,17 @@
 ///         previous_term: Term(0),
 ///     };
 ///     let event = WatchEvent::ReportArrived { database: name.into(), round: 1, report };
-///     watch.handle(Micros(500), event, &mut actions);
+///     monitor.handle(Micros(500), event, &mut actions);
 /// }
 /// assert!(actions.contains(&WatchAction::LeaderChanged { term: Term(1), leader: "a".into() }));
-/// assert_eq!(watch.provable_age(Micros(1_001), "b"), Some(Micros(1_000)));
+/// assert_eq!(monitor.provable_age(Micros(1_001), "b"), Some(Micros(1_000)));
 /// ```
 #[derive(Debug)]
 pub struct ClusterWatch {
     config: WatchConfig,
-    faults: WatchFaults,
+    faults: MonitorFaults,
     databases: Vec<DatabaseState>,
-    /// Rounds that are the current one or have a request in flight; at most databases + 1.
+    /// The current round and earlier ones with a request in flight; at most databases + 1.
     rounds: VecDeque<ReportRound>,
     /// Number of the last round that began.
     last_round: u64,
@@ -298,20 +300,20 @@
     /// Highest term that any database reported.
     highest: Term,
     commits: Vec<PendingCommit>,
-    /// When the primary last gave a sign of life, or the first event arrived.
+    /// When the primary last reported, or the first event arrived.
     alive_at: Option<Micros>,
     suspected: bool,
 }
 
 impl ClusterWatch {
-    /// Creates a watch that knows nothing yet.
+    /// Creates a monitor without any reports.
     ///
     /// Two lists that are in use at the same time must differ by at most one database, so that any
     /// majority of one shares a database with any majority of the other.
     pub fn new(config: WatchConfig, databases: Vec<Name>) -> Self {
         ClusterWatch {
             config,
-            faults: WatchFaults::default(),
+            faults: MonitorFaults::default(),
             databases: databases.into_iter().map(DatabaseState::new).collect(),
             rounds: VecDeque::new(),
             last_round: 0,
@@ -327,13 +329,13 @@
         }
     }
 
-    /// Breaks rules, for tests of the model.
+    /// Injects faults, for tests of the model.
     #[doc(hidden)]
-    pub fn set_faults(&mut self, faults: WatchFaults) {
+    pub fn set_faults(&mut self, faults: MonitorFaults) {
         self.faults = faults;
     }
 
-    /// Takes over a changed list of databases. Open rounds are abandoned, because their majority was
+    /// Replaces the list of databases. Open rounds are abandoned, because their majority was
     /// counted in the old list; commits wait for the next round.
     pub fn set_databases(&mut self, databases: Vec<Name>) {
         if self.databases.iter().map(|state| &state.name).eq(databases.iter()) {
@@ -352,18 +354,18 @@
         self.rounds.clear();
     }
 
-    /// Records where a term began, from a source other than reports. What is known already stands.
-    /// Wrong values make floors wrong; use durable records only.
+    /// Records where a term began, from a source other than reports. A known start is not replaced.
+    /// Wrong values make the checks of required positions wrong, so use durable records only.
     pub fn learn_term(&mut self, term: Term, start: TermStart) {
         self.terms.entry(term).or_insert(start);
-        while self.terms.len() > TERM_LIMIT {
+        while self.terms.len() > MAX_TERM_STARTS {
             self.terms.pop_first();
         }
     }
 
     /// Handles an event. `now` must not decrease between calls.
     ///
-    /// [`WatchEvent::CommitFinished`] carries the term that the watch showed when the statement was
+    /// [`WatchEvent::CommitFinished`] carries the term that the monitor showed when the statement was
     /// *sent*; the term at the time of the response would let a commit of a replaced primary pass when
     /// the same database was promoted again in between.
     pub fn handle(&mut self, now: Micros, event: WatchEvent, actions: &mut Vec<WatchAction>) {
@@ -371,7 +373,7 @@
         let mut timer = false;
         match event {
             WatchEvent::ReportArrived { database, round, report } => {
-                self.take_report(now, &database, round, report, actions);
+                self.handle_report(now, &database, round, report, actions);
             }
             WatchEvent::ReportFailed { database, round } => {
                 let state = self.databases.iter_mut().find(|state| state.name == database);
@@ -379,7 +381,7 @@
                     && state.asked.is_some_and(|(asked, _)| asked == round)
                 {
                     state.asked = None;
-                    state.retry_at = now + FAILURE_PAUSE;
+                    state.retry_at = now + REPORT_RETRY_BACKOFF;
                 }
             }
             WatchEvent::CommitFinished { commit, term, durable } => {
@@ -430,7 +432,7 @@
         (next != Micros::MAX).then_some(next)
     }
 
-    /// Returns the current view.
+    /// Returns the current view of the leader.
     pub fn view(&self, now: Micros) -> LeaderView {
         LeaderView {
             term: self.term,
@@ -445,10 +447,11 @@
         state.latest.map(|(_, began, report)| (began, report))
     }
 
-    /// Returns the data age that can be proved for a database, if any. At most 60 s and a little more.
+    /// Returns the data age that can be proved for a database, if any. Slightly above 60 s at
+    /// most.
     pub fn provable_age(&self, now: Micros, database: &str) -> Option<Micros> {
         let (_, report) = self.report(database)?;
-        if !self.is_on_log(&report) {
+        if !self.is_on_primary_log(&report) {
             return None;
         }
         let covered = self.samples.partition_point(|sample| sample.position <= report.applied);
@@ -456,34 +459,36 @@
         Some(now.saturating_sub(sample.began))
     }
 
-    /// Compares a database with a session floor. A floor of a term above the confirmed one is `NotYet`;
-    /// if a round that began after the floor was presented confirms a lower term, the floor is of
+    /// Compares a database with a required position. A position of a term above the confirmed one is
+    /// `NotYet`; if a round that began after the position was presented confirms a lower term, it is of
     /// another cluster, because terms do not decrease at a majority.
-    pub fn floor_state(&self, database: &str, floor: SessionFloor) -> FloorState {
-        if floor.term > self.term || self.leader.is_none() {
+    pub fn floor_state(&self, database: &str, required: SessionFloor) -> FloorState {
+        if required.term > self.term || self.leader.is_none() {
             return FloorState::NotYet;
         }
         let instead = self.term_floor();
-        match self.floor_fate(floor) {
-            FloorFate::Kept => {}
-            FloorFate::Lost => return FloorState::Lost { instead },
-            FloorFate::Unknown => return FloorState::Uncertain { instead },
+        match self.log_survival(required) {
+            LogSurvival::Survived => {}
+            LogSurvival::Lost => return FloorState::Lost { instead },
+            LogSurvival::Unknown => return FloorState::Uncertain { instead },
         }
         match self.report(database) {
-            Some((_, report)) if self.is_on_log(&report) && report.applied >= floor.position => {
+            Some((_, report))
+                if self.is_on_primary_log(&report) && report.applied >= required.position =>
+            {
                 FloorState::Met
             }
             _ => FloorState::NotYet,
         }
     }
 
-    /// Returns the start of the confirmed term, the floor to use instead of a lost one.
+    /// Returns the start of the confirmed term, which replaces a required position that was lost.
     pub fn term_floor(&self) -> SessionFloor {
         let start = self.terms.get(&self.term).map_or(LogPosition(0), |start| start.start);
         SessionFloor { term: self.term, position: start }
     }
 
-    /// Returns the position of the last confirmed round that began at or after `since`.
+    /// Returns the position of the last confirmed round if it began at or after `since`.
     pub fn confirmed_floor(&self, since: Micros) -> Option<SessionFloor> {
         let (began, position) = self.confirmed?;
         (began >= since).then_some(SessionFloor { term: self.term, position })
@@ -499,7 +504,7 @@
     }
 
     /// Whether the reported log is a prefix of the log of the primary of `self.term`.
-    fn is_on_log(&self, report: &DatabaseReport) -> bool {
+    fn is_on_primary_log(&self, report: &DatabaseReport) -> bool {
         if self.faults.ignore_lineage {
             return true;
         }
@@ -510,40 +515,41 @@
             return true;
         }
         match self.terms.get(&self.term) {
-            Some(start) => start.previous == report.log_term && report.received <= start.start,
+            Some(start) => start.previous_term == report.log_term && report.received <= start.start,
             None => false,
         }
     }
 
-    /// Whether the position of the floor is part of the log of `self.term`.
-    fn floor_fate(&self, floor: SessionFloor) -> FloorFate {
+    /// Whether the log up to a required position is part of the log of `self.term`.
+    fn log_survival(&self, required: SessionFloor) -> LogSurvival {
         if self.faults.ignore_lineage {
-            return FloorFate::Kept;
+            return LogSurvival::Survived;
         }
         // A position at or before the start of its term belongs to an older term.
-        let mut owner = floor.term;
-        while let Some(start) = self.terms.get(&owner)
-            && floor.position <= start.start
-            && start.previous < owner
+        let mut written_in = required.term;
+        while let Some(start) = self.terms.get(&written_in)
+            && required.position <= start.start
+            && start.previous_term < written_in
         {
-            owner = start.previous;
+            written_in = start.previous_term;
         }
         let mut term = self.term;
         let mut limit = LogPosition(u64::MAX);
-        while term > owner {
-            let Some(start) = self.terms.get(&term).filter(|start| start.previous < term) else {
-                let lost = floor.position > limit;
-                return if lost { FloorFate::Lost } else { FloorFate::Unknown };
+        while term > written_in {
+            let Some(start) = self.terms.get(&term).filter(|start| start.previous_term < term)
+            else {
+                let lost = required.position > limit;
+                return if lost { LogSurvival::Lost } else { LogSurvival::Unknown };
             };
             limit = limit.min(start.start);
-            term = start.previous;
+            term = start.previous_term;
         }
-        // A floor of a term that the walk passed over has no entry in this log.
-        let kept = term == owner && floor.position <= limit;
-        if kept { FloorFate::Kept } else { FloorFate::Lost }
+        // A term that the loop skipped has no entry in this log.
+        let survived = term == written_in && required.position <= limit;
+        if survived { LogSurvival::Survived } else { LogSurvival::Lost }
     }
 
-    fn take_report(
+    fn handle_report(
         &mut self,
         now: Micros,
         database: &str,
@@ -558,7 +564,7 @@
         if awaited {
             state.asked = None;
         }
-        // A report of a round that is no longer open proves nothing that later reports do not.
+        // A report of a round that is no longer open proves no more than later reports.
         let Some(round) = self.rounds.iter_mut().find(|round| round.number == number) else {
             return;
         };
@@ -589,7 +595,7 @@
         }
     }
 
-    /// Draws the conclusions from the reports of a round.
+    /// Confirms a round whose reports suffice, and acknowledges the commits that it covers.
     fn evaluate_round(&mut self, now: Micros, number: u64, actions: &mut Vec<WatchAction>) {
         let majority = if self.faults.no_majority { 1 } else { self.majority() };
         let Some(index) = self.rounds.iter().position(|round| round.number == number) else {
@@ -608,14 +614,14 @@
         if !round.confirmed {
             self.rounds[index].confirmed = true;
             self.alive_at = Some(now);
-            self.open_term(&leader, &primary, actions);
+            self.adopt_term(&leader, &primary, actions);
             self.add_sample(now, PositionSample { began, position });
         }
-        self.settle_commits(index, position, actions);
+        self.acknowledge_commits(index, position, actions);
     }
 
-    /// Takes over a term that a round confirmed.
-    fn open_term(
+    /// Adopts a term that a round confirmed.
+    fn adopt_term(
         &mut self,
         leader: &Name,
         primary: &DatabaseReport,
@@ -636,12 +642,12 @@
                 keep
             });
         }
-        let start = TermStart { start: primary.term_start, previous: primary.previous_term };
+        let start = TermStart { start: primary.term_start, previous_term: primary.previous_term };
         self.learn_term(term, start);
     }
 
     /// Acknowledges the commits that the round covers.
-    fn settle_commits(
+    fn acknowledge_commits(
         &mut self,
         index: usize,
         position: LogPosition,
@@ -655,7 +661,7 @@
         let mut received: Vec<LogPosition> = round
             .reports
             .iter()
-            .filter(|(_, report)| self.is_on_log(report))
+            .filter(|(_, report)| self.is_on_primary_log(report))
             .map(|(_, report)| report.received)
             .collect();
         received.sort_unstable_by(|left, right| right.cmp(left));
@@ -690,35 +696,35 @@
             self.samples.pop_back();
         }
         self.samples.push_back(sample);
-        if self.samples.len() >= SAMPLE_LIMIT {
+        if self.samples.len() >= MAX_SAMPLES {
             self.thin_samples(now);
         }
     }
 
-    /// Thins samples with growing age. A sample is dropped only if its neighbours are close to each
-    /// other, so the age stated is too high by at most 1/16 or 8 ms.
+    /// Thins samples, the older the more. A sample is dropped only if its neighbours are close to each
+    /// other, so a proved age is too high by at most 1/16 or 8 ms.
     fn thin_samples(&mut self, now: Micros) {
-        let mut kept: VecDeque<PositionSample> = VecDeque::with_capacity(SAMPLE_LIMIT);
-        let oldest = now.saturating_sub(SAMPLE_SPAN);
+        let mut kept: VecDeque<PositionSample> = VecDeque::with_capacity(MAX_SAMPLES);
+        let oldest = now.saturating_sub(SAMPLE_RETENTION);
         for (index, sample) in self.samples.iter().enumerate().rev() {
             let age = now.saturating_sub(sample.began);
-            let gap = SAMPLE_GAP.max(Micros(age.0 / SAMPLE_PRECISION));
+            let gap = MIN_SAMPLE_GAP.max(Micros(age.0 / SAMPLE_GAP_DIVISOR));
             let older = index.checked_sub(1).and_then(|index| self.samples.get(index));
-            let spare = match (kept.front(), older) {
+            let redundant = match (kept.front(), older) {
                 (Some(newer), Some(older)) => newer.began - older.began <= gap,
                 _ => false,
             };
-            if sample.began >= oldest && !spare {
+            if sample.began >= oldest && !redundant {
                 kept.push_front(*sample);
             }
         }
-        while kept.len() >= SAMPLE_LIMIT {
+        while kept.len() >= MAX_SAMPLES {
             kept.pop_front();
         }
         self.samples = kept;
     }
 
-    /// Gives up on requests and commits that took too long.
+    /// Abandons requests and commits that timed out, and rounds without a request in flight.
     fn expire(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
         for state in &mut self.databases {
             if let Some((_, sent)) = state.asked
@@ -741,7 +747,7 @@
         });
     }
 
-    /// When the next round is due without a commit.
+    /// When the next round is due if no commit waits.
     fn idle_due(&self) -> Micros {
         self.rounds.back().map_or(Micros::ZERO, |round| round.began + self.config.idle_interval)
     }
@@ -763,7 +769,7 @@
             return None;
         }
         let new = self.commits.last().is_some_and(|pending| pending.first_round > round.number);
-        Some(if new { round.began } else { round.began + RETRY_INTERVAL })
+        Some(if new { round.began } else { round.began + ROUND_RETRY_INTERVAL })
     }
 
     /// When the primary, or any database if the primary is unknown, can be asked; none while a
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -40,7 +40,7 @@
 
 use model::{DatabaseRole, LogPosition, Micros, Name, SeededRandom, Term};
 
-use crate::watch::{DatabaseReport, LeaderView};
+use crate::monitor::{DatabaseReport, LeaderView};
 
 /// Time that each supervisor has for a promotion before the next one starts its own.
 const TURN_TIMEOUT: Micros = Micros::from_secs(3);
--- a/crates/failover/tests/model.rs
+++ b/crates/failover/tests/model.rs
@@ -1,95 +1,103 @@
-//! Safety and liveness of watches and supervisors over a model of a cluster.
+//! Safety and liveness of cluster monitors and supervisors, checked with a model of a cluster.
 
 mod support;
 
-use failover::{SupervisorFaults, WatchFaults};
+use failover::{MonitorFaults, SupervisorFaults};
 use proptest::prelude::*;
-use support::{COUNT, Fault, FaultKind, Options, World};
+use support::{ClusterModel, FaultKind, InjectedFault, ModelOptions, NODE_COUNT};
 
-fn options(seed: u64, faults: Vec<Fault>) -> Options {
-    Options {
+fn options(seed: u64, faults: Vec<InjectedFault>) -> ModelOptions {
+    ModelOptions {
         seed: seed | 1,
         faults,
         loss: 20,
         duplicates: 20,
         late: 20,
-        watch_faults: WatchFaults::default(),
+        monitor_faults: MonitorFaults::default(),
         supervisor_faults: SupervisorFaults::default(),
     }
 }
 
-fn fault() -> impl Strategy<Value = Fault> {
+fn fault() -> impl Strategy<Value = InjectedFault> {
     let kind = prop_oneof![
-        3 => (0..COUNT).prop_map(FaultKind::FreezeDatabase),
+        3 => (0..NODE_COUNT).prop_map(FaultKind::FreezeDatabase),
         4 => Just(FaultKind::FreezePrimary),
-        3 => (0..COUNT).prop_map(FaultKind::PauseNode),
-        3 => (0..COUNT, 0..COUNT).prop_map(|(node, index)| FaultKind::CutReport(node, index)),
-        3 => (0..COUNT).prop_map(FaultKind::CutReplication),
-        1 => Just(FaultKind::PlatformAway),
-        2 => (0..COUNT).prop_map(FaultKind::Leaving),
+        3 => (0..NODE_COUNT).prop_map(FaultKind::PauseNode),
+        3 => (0..NODE_COUNT, 0..NODE_COUNT).prop_map(|(node, index)| FaultKind::CutReport(node, index)),
+        3 => (0..NODE_COUNT).prop_map(FaultKind::CutReplication),
+        1 => Just(FaultKind::PlatformUnavailable),
+        2 => (0..NODE_COUNT).prop_map(FaultKind::Leaving),
     ];
-    (2_000u64..40_000, 100u64..9_000, kind).prop_map(|(at, lasts, kind)| Fault { at, lasts, kind })
+    (2_000u64..40_000, 100u64..9_000, kind).prop_map(|(at, duration, kind)| InjectedFault {
+        at,
+        duration,
+        kind,
+    })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 192, ..ProptestConfig::default() })]
 
     // Guards against acknowledged writes of a replaced primary, durable writes missing at a later
-    // leader, two leaders in a term, age proofs that are too young, floors wrongly met, and a cluster
-    // that stays without a leader after its faults are over.
+    // leader, two leaders in a term, proved ages that are too low, required positions wrongly met, and a
+    // cluster that has no leader after its faults are over.
     #[test]
     fn faults_break_no_guarantee(
         seed in any::<u64>(),
         faults in prop::collection::vec(fault(), 0..14),
     ) {
-        let mut world = World::new(options(seed, faults));
-        world.run(62_000);
-        prop_assert_eq!(&world.violation, &None);
-        prop_assert!(world.confirming() > 0, "no leader 13 s after the last fault");
-        prop_assert!(world.acknowledged > 0);
+        let mut model = ClusterModel::new(options(seed, faults));
+        model.run(62_000);
+        prop_assert_eq!(&model.violation, &None);
+        prop_assert!(model.confirming_nodes() > 0, "no leader 13 s after the last fault");
+        prop_assert!(model.acknowledged > 0);
     }
 
     // Guards against a failover that takes longer than 13 s from the failure of the primary, with a
-    // supervisor that fails at any step and a platform that may be away.
+    // supervisor that fails at any step and a platform that may be unavailable.
     #[test]
     fn leader_exists_again_within_13_s(
         seed in any::<u64>(),
-        lost_node in 0..COUNT,
-        lost_after in 0u64..6_000,
-        platform_away in any::<bool>(),
+        paused_node in 0..NODE_COUNT,
+        paused_after in 0u64..6_000,
+        platform_unavailable in any::<bool>(),
     ) {
-        let away = 60_000;
+        let duration = 60_000;
         let mut faults = vec![
-            Fault { at: 5_000, lasts: away, kind: FaultKind::FreezePrimary },
-            Fault { at: 5_000 + lost_after, lasts: away, kind: FaultKind::PauseNode(lost_node) },
+            InjectedFault { at: 5_000, duration: duration, kind: FaultKind::FreezePrimary },
+            InjectedFault { at: 5_000 + paused_after, duration: duration, kind: FaultKind::PauseNode(paused_node) },
         ];
-        if platform_away {
-            faults.push(Fault { at: 4_000, lasts: away, kind: FaultKind::PlatformAway });
+        if platform_unavailable {
+            faults.push(InjectedFault { at: 4_000, duration: duration, kind: FaultKind::PlatformUnavailable });
         }
-        let mut world = World::new(Options { loss: 2, late: 2, ..options(seed, faults) });
-        world.run(4_999);
-        let before = *world.opened.keys().last().unwrap_or(&0);
+        let mut model = ClusterModel::new(ModelOptions { loss: 2, late: 2, ..options(seed, faults) });
+        model.run(4_999);
+        let before = *model.confirmed_terms.keys().last().unwrap_or(&0);
         prop_assert!(before > 0);
-        world.run(5_000 + 13_000);
-        prop_assert_eq!(&world.violation, &None);
-        let after = *world.opened.keys().last().unwrap();
+        model.run(5_000 + 13_000);
+        prop_assert_eq!(&model.violation, &None);
+        let after = *model.confirmed_terms.keys().last().unwrap();
         prop_assert!(after > before, "no new leader after 13 s");
     }
 }
 
-/// Runs varied faults until the model reports a violation; returns it.
+/// Runs varied faults until the model finds a violation; returns it.
 fn find_violation(
-    watch_faults: WatchFaults,
+    monitor_faults: MonitorFaults,
     supervisor_faults: SupervisorFaults,
 ) -> Option<String> {
-    (1..400).find_map(|seed| varied_run(seed, watch_faults, supervisor_faults).violation)
+    (1..400).find_map(|seed| varied_run(seed, monitor_faults, supervisor_faults).violation)
 }
 
-fn varied_run(seed: u64, watch_faults: WatchFaults, supervisor_faults: SupervisorFaults) -> World {
+fn varied_run(
+    seed: u64,
+    monitor_faults: MonitorFaults,
+    supervisor_faults: SupervisorFaults,
+) -> ClusterModel {
     let mut faults = Vec::new();
     for step in 0..8 {
         let at = 3_000 + step * 4_500 + seed * 37 % 900;
-        let lasts = 1_200 + (seed * 211 + step * 977) % 4_000;
+        let duration = 1_200 + (seed * 211 + step * 977) % 4_000;
         let index = ((seed + step) % 3) as usize;
         let kind = match (seed + step) % 4 {
             0 => FaultKind::CutReplication(index),
@@ -97,71 +105,71 @@
             2 => FaultKind::CutReport(index, (seed / 3 % 3) as usize),
             _ => FaultKind::FreezePrimary,
         };
-        faults.push(Fault { at, lasts, kind });
+        faults.push(InjectedFault { at, duration, kind });
     }
     let mut options = options(seed * 7_919, faults);
-    options.watch_faults = watch_faults;
+    options.monitor_faults = monitor_faults;
     options.supervisor_faults = supervisor_faults;
-    let mut world = World::new(options);
-    world.run(45_000);
-    world
+    let mut model = ClusterModel::new(options);
+    model.run(45_000);
+    model
 }
 
-// The remaining tests guard against a model that is too weak to notice a broken rule.
+// The remaining tests guard against a model that does not detect a broken rule.
 
 #[test]
 fn model_finds_no_violation_of_intact_rules() {
     let (mut met, mut proofs, mut lost, mut unknown, mut terms) = (0, 0, 0, 0, 0);
     for seed in 1..80 {
-        let world = varied_run(seed, WatchFaults::default(), SupervisorFaults::default());
-        assert_eq!(world.violation, None, "seed {seed}");
-        met += world.met;
-        proofs += world.proofs;
-        lost += world.lost_notices;
-        unknown += world.unknown;
-        terms += world.opened.len();
+        let model = varied_run(seed, MonitorFaults::default(), SupervisorFaults::default());
+        assert_eq!(model.violation, None, "seed {seed}");
+        met += model.met;
+        proofs += model.proofs;
+        lost += model.reported_lost;
+        unknown += model.unknown;
+        terms += model.confirmed_terms.len();
     }
-    // Every kind of evidence is used often enough for the checks to mean something.
+    // Every kind of proof must occur often enough for the checks to be meaningful.
     println!("met {met}, proofs {proofs}, lost {lost}, unknown {unknown}, terms {terms}");
     assert!(met > 10_000 && proofs > 10_000 && lost > 100 && unknown > 100 && terms > 150);
 }
 
 #[test]
-fn model_finds_acknowledgement_on_an_early_round() {
-    let faults = WatchFaults { early_round: true, ..WatchFaults::default() };
-    // A commit that the round does not cover, or one of a replaced primary.
+fn model_finds_acknowledgement_by_an_open_round() {
+    let faults = MonitorFaults { early_round: true, ..MonitorFaults::default() };
+    // The commit is not covered by the round, or belongs to a replaced primary.
     let found = find_violation(faults, SupervisorFaults::default()).unwrap();
-    assert!(found.contains("acknowledged") || found.contains("floor"), "{found}");
+    assert!(found.contains("acknowledged") || found.contains("required position"), "{found}");
 }
 
 #[test]
 fn model_finds_round_without_majority() {
-    let faults = WatchFaults { no_majority: true, ..WatchFaults::default() };
+    let faults = MonitorFaults { no_majority: true, ..MonitorFaults::default() };
     find_violation(faults, SupervisorFaults::default()).unwrap();
 }
 
 #[test]
-fn model_finds_durable_acknowledgement_without_receipt() {
-    let faults = WatchFaults { no_receipt: true, ..WatchFaults::default() };
+fn model_finds_durable_acknowledgement_without_majority() {
+    let faults = MonitorFaults { no_receipt: true, ..MonitorFaults::default() };
     let found = find_violation(faults, SupervisorFaults::default()).unwrap();
     assert!(found.contains("durable"), "{found}");
 }
 
 #[test]
 fn model_finds_positions_compared_across_terms() {
-    let faults = WatchFaults { ignore_lineage: true, ..WatchFaults::default() };
+    let faults = MonitorFaults { ignore_lineage: true, ..MonitorFaults::default() };
     find_violation(faults, SupervisorFaults::default()).unwrap();
 }
 
 #[test]
 fn model_finds_promotion_without_fence_majority() {
     let faults = SupervisorFaults { no_fence_majority: true, ..SupervisorFaults::default() };
-    find_violation(WatchFaults::default(), faults).unwrap();
+    find_violation(MonitorFaults::default(), faults).unwrap();
 }
 
 #[test]
 fn model_finds_promotion_of_a_shorter_log() {
     let faults = SupervisorFaults { any_candidate: true, ..SupervisorFaults::default() };
-    let found = find_violation(WatchFaults::default(), faults).unwrap();
+    let found = find_violation(MonitorFaults::default(), faults).unwrap();
     assert!(found.contains("durable"), "{found}");
 }
--- a/crates/failover/tests/record.rs
+++ b/crates/failover/tests/record.rs
@@ -6,7 +6,7 @@
 };
 use model::{LogPosition, Micros, Name, Term};
 
-/// A supervisor, its clock and what it asked for last.
+/// A supervisor and its clock.
 struct SupervisorDriver {
     supervisor: Supervisor,
     now: Micros,
@@ -63,8 +63,7 @@
         assert_eq!(self.supervisor.step(), "idle");
     }
 
-    /// Answers reads with `found` and writes with success until the supervisor asks for nothing.
-    /// Returns the terms of the leading records that it wrote.
+    /// Answers reads with `found` and writes with success for 20 s. Returns the terms of the leading records that it wrote.
     fn settle(&mut self, mut found: Option<LeaderRecord>) -> Vec<Term> {
         let mut written = Vec::new();
         for _ in 0..40 {
@@ -96,7 +95,7 @@
     }
 }
 
-/// Promotes term 2 and leaves its leading record's write without an answer.
+/// Promotes term 2 and leaves the write of its leading record unanswered.
 fn promote_and_write(driver: &mut SupervisorDriver) -> LeaderRecord {
     driver.suspect(1);
     driver.handle(SupervisorEvent::RecordRead { record: None, index: 0 });
@@ -126,9 +125,9 @@
     assert_eq!(driver.settle(Some(earlier)), [Term(3)]);
 }
 
-// The same when the late answer arrives while the later record's own write is on its way and lost.
+// The same if the late answer arrives while the write of the later record is in flight and gets lost.
 #[test]
-fn late_answer_does_not_stand_for_a_write_on_its_way() {
+fn late_answer_does_not_count_for_a_write_in_flight() {
     let mut driver = SupervisorDriver::new();
     let earlier = promote_and_write(&mut driver);
     driver.now += Micros::from_secs(2);
@@ -145,9 +144,10 @@
     assert_eq!(driver.settle(Some(earlier)), [Term(3)]);
 }
 
-// Guards against calls that an undisturbed promotion does not need: four in all, none afterwards.
+// Guards against needless calls to the platform: a promotion without failures makes four, and none
+// afterwards.
 #[test]
-fn undisturbed_promotion_takes_four_calls() {
+fn promotion_without_failures_makes_four_calls() {
     let mut driver = SupervisorDriver::new();
     let record = promote_and_write(&mut driver);
     driver.handle(SupervisorEvent::RecordWritten { applied: true });
--- a/crates/failover/tests/supervisor.rs
+++ b/crates/failover/tests/supervisor.rs
@@ -50,7 +50,7 @@
     RecordRead { record: Some(LeaderRecord { term: Term(term), state }), index: 7 }
 }
 
-/// Runs events at times in ms and returns what the supervisor did. Random waits show as they are.
+/// Runs events at times in ms and returns what the supervisor did. Random backoffs are not masked.
 fn run(events: Vec<(u64, SupervisorEvent)>) -> String {
     run_with(&[], events)
 }
@@ -94,7 +94,7 @@
 }
 
 /// Runs events at a supervisor whose confirmed leader `a` is leaving, with a report of each database.
-fn run_leaving(
+fn run_switchover(
     received: [u64; 3],
     leaving: &[&str],
     events: Vec<(u64, SupervisorEvent)>,
@@ -104,11 +104,11 @@
         let seen = report(4, 4, received);
         before.push((0, ReportSeen { database: name.into(), report: seen }));
     }
-    run_with(leaving, and_events(before, events))
+    run_with(leaving, concat(before, events))
 }
 
-/// The usual way up to the fences.
-fn until_fence() -> Vec<(u64, SupervisorEvent)> {
+/// The events of an ordinary promotion up to the fences.
+fn events_until_fencing() -> Vec<(u64, SupervisorEvent)> {
     vec![
         (0, SUSPECTED),
         (1, view("node-2", Some(1_200))),
@@ -118,17 +118,17 @@
     ]
 }
 
-fn and(events: Vec<(u64, SupervisorEvent)>, more: Vec<(u64, SupervisorEvent)>) -> String {
-    run(and_events(events, more))
+fn run_all(events: Vec<(u64, SupervisorEvent)>, more: Vec<(u64, SupervisorEvent)>) -> String {
+    run(concat(events, more))
 }
 
-// Guards against a leaving database that stays primary or is promoted again without need, against a
-// fence that nobody can follow, and against one change of primary after another.
+// Guards against a leaving database that stays primary or is promoted again needlessly, against a fence
+// without a database that can replace the leader, and against repeated switchovers.
 #[test]
-fn branches_of_a_planned_change() {
+fn branches_of_a_switchover() {
     const LEAVING: SupervisorEvent = LeaderLeaving { term: Term(4) };
     let mut text = String::new();
-    let mut add = |title: &str, lines: String| {
+    let mut add_case = |title: &str, lines: String| {
         let _ = writeln!(text, "{title}\n{lines}");
     };
     let fences = |received: [u64; 3]| {
@@ -142,16 +142,16 @@
             (1_008, fenced("c", true, 5, c)),
         ]
     };
-    add(
+    add_case(
         "among equal logs a database that stays is promoted",
-        run_leaving([90, 90, 90], &["a", "c"], fences([90, 90, 90])),
+        run_switchover([90, 90, 90], &["a", "c"], fences([90, 90, 90])),
     );
-    add(
+    add_case(
         "the leaving database alone has the whole log: nothing is lost, the next try waits 10 s",
-        run_leaving(
+        run_switchover(
             [90, 90, 90],
             &["a"],
-            and_events(
+            concat(
                 fences([95, 90, 90]),
                 vec![
                     (1_010, Promoted { database: "a".into(), start: LogPosition(95) }),
@@ -166,29 +166,29 @@
             ),
         ),
     );
-    add(
+    add_case(
         "no database that stays holds the whole log, or the term is over: nothing is fenced",
-        run_leaving(
+        run_switchover(
             [90, 80, 90],
             &["a", "c"],
             vec![(1_000, LEAVING), (2_000, LeaderLeaving { term: Term(3) })],
         ),
     );
-    add("the leader stays", run_leaving([90, 90, 90], &["b"], vec![(1_000, LEAVING)]));
+    add_case("the leader stays", run_switchover([90, 90, 90], &["b"], vec![(1_000, LEAVING)]));
     insta::assert_snapshot!(text);
 }
 
 #[test]
 fn branches_of_a_promotion() {
     let mut text = String::new();
-    let mut add = |title: &str, lines: String| {
+    let mut add_case = |title: &str, lines: String| {
         let _ = writeln!(text, "{title}\n{lines}");
     };
     let two_fences = || vec![(8, fenced("b", true, 5, 90)), (9, fenced("c", true, 5, 95))];
-    add(
+    add_case(
         "ordinary: the longest fenced log is promoted",
-        and(
-            and_events(until_fence(), two_fences()),
+        run_all(
+            concat(events_until_fencing(), two_fences()),
             vec![
                 (59, Timer),
                 (62, Promoted { database: "c".into(), start: LogPosition(95) }),
@@ -199,11 +199,11 @@
             ],
         ),
     );
-    add(
+    add_case(
         "all databases answer: no wait for stragglers",
-        and(until_fence(), and_events(two_fences(), vec![(10, failed("a"))])),
+        run_all(events_until_fencing(), concat(two_fences(), vec![(10, failed("a"))])),
     );
-    add(
+    add_case(
         "first election: no record and no primary",
         run(vec![
             (0, PrimarySuspected { term: Term(0), order: 0 }),
@@ -211,7 +211,7 @@
             (302, RecordRead { record: None, index: 0 }),
         ]),
     );
-    add(
+    add_case(
         "third supervisor: waits two steps, suspicion cleared",
         run(vec![
             (0, PrimarySuspected { term: Term(4), order: 2 }),
@@ -221,11 +221,11 @@
             (6_001, SuspicionCleared),
         ]),
     );
-    add(
+    add_case(
         "another owner confirms: stop, ask again once its round is 1 s old",
         run(vec![(0, SUSPECTED), (1, view("node-2", Some(300))), (250, SUSPECTED), (701, Timer)]),
     );
-    add(
+    add_case(
         "platform silent: fences alone decide; the next attempt does not wait",
         run(vec![
             (0, SUSPECTED),
@@ -236,7 +236,7 @@
             (3_300, Timer),
         ]),
     );
-    add(
+    add_case(
         "answer lost: the own record shows that the write was applied",
         run(vec![
             (0, SUSPECTED),
@@ -246,7 +246,7 @@
             (902, electing(5, "node-1")),
         ]),
     );
-    add(
+    add_case(
         "conflict: wait for the other supervisor, then resume above its term",
         run(vec![
             (0, SUSPECTED),
@@ -260,7 +260,7 @@
             (3_610, RecordWritten { applied: true }),
         ]),
     );
-    add(
+    add_case(
         "conflict: the other supervisor succeeds",
         run(vec![
             (0, SUSPECTED),
@@ -270,7 +270,7 @@
             (901, SuspicionCleared),
         ]),
     );
-    add(
+    add_case(
         "record behind the databases: one above the highest term seen",
         run(vec![
             (0, PrimarySuspected { term: Term(9), order: 0 }),
@@ -280,10 +280,10 @@
             (304, leading(4)),
         ]),
     );
-    add(
+    add_case(
         "fence refused by a newer term: back off, then above it",
-        and(
-            until_fence(),
+        run_all(
+            events_until_fencing(),
             vec![
                 (8, fenced("b", false, 7, 90)),
                 (1_000, Timer),
@@ -292,31 +292,31 @@
             ],
         ),
     );
-    add(
+    add_case(
         "fence refused at the same term does not count",
-        and(
-            until_fence(),
+        run_all(
+            events_until_fencing(),
             vec![(8, fenced("b", true, 5, 90)), (9, fenced("c", false, 5, 95)), (10, failed("a"))],
         ),
     );
-    add(
+    add_case(
         "fence partial: time runs out; a late answer does not count later",
-        and(
-            until_fence(),
+        run_all(
+            events_until_fencing(),
             vec![(8, fenced("b", true, 5, 90)), (506, Timer), (507, fenced("c", true, 5, 95))],
         ),
     );
-    add(
+    add_case(
         "suspicion cleared while fencing: the promotion is completed",
-        and(
-            until_fence(),
-            and_events(vec![(7, SuspicionCleared)], and_events(two_fences(), vec![(59, Timer)])),
+        run_all(
+            events_until_fencing(),
+            concat(vec![(7, SuspicionCleared)], concat(two_fences(), vec![(59, Timer)])),
         ),
     );
-    add(
+    add_case(
         "promotion lost: the same order again, then another term",
-        and(
-            and_events(until_fence(), two_fences()),
+        run_all(
+            concat(events_until_fencing(), two_fences()),
             vec![
                 (59, Timer),
                 (209, Timer),
@@ -330,7 +330,7 @@
     let seen = |database: &str, report| ReportSeen { database: database.into(), report };
     let mut head = report(5, 5, 200);
     head.role = DatabaseRole::Primary;
-    add(
+    add_case(
         "lagging databases: told to follow once a second, also if they stand still",
         run(vec![
             (0, LeaderConfirmed { term: Term(5), leader: "a".into() }),
@@ -347,7 +347,7 @@
     insta::assert_snapshot!(text);
 }
 
-fn and_events(
+fn concat(
     mut events: Vec<(u64, SupervisorEvent)>,
     more: Vec<(u64, SupervisorEvent)>,
 ) -> Vec<(u64, SupervisorEvent)> {
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A cluster of three databases, three nodes and a platform in virtual time, with faults.
 //!
-//! The model knows the truth (which primary was in office when, and with which log) and compares every
-//! acknowledgement, age proof, floor and promotion with it.
+//! The model knows the actual history (which primary led when, and with which log) and checks every
+//! acknowledgement, age proof, required position and promotion against it.
 
 // Clippy exempts `unwrap` only inside test functions.
 #![allow(clippy::unwrap_used)]
@@ -13,13 +13,13 @@
 use failover::*;
 use model::{LogPosition, Micros, Name, SessionFloor, Term};
 
-pub const COUNT: usize = 3;
+pub const NODE_COUNT: usize = 3;
 
-/// A disturbance, with times in milliseconds.
+/// A fault to inject, with times in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Fault {
+pub struct InjectedFault {
     pub at: u64,
-    pub lasts: u64,
+    pub duration: u64,
     pub kind: FaultKind,
 }
 
@@ -30,31 +30,31 @@
     PauseNode(usize),
     CutReport(usize, usize),
     CutReplication(usize),
-    PlatformAway,
-    /// The database is leaving; every node tries to move the primary away from it.
+    PlatformUnavailable,
+    /// The database is leaving; every node tries to switch the primary over to another.
     Leaving(usize),
 }
 
-/// Options of a run.
+/// Options of a model run.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct ModelOptions {
     pub seed: u64,
-    pub faults: Vec<Fault>,
+    pub faults: Vec<InjectedFault>,
     /// Messages lost, duplicated and late, per 1000 each.
     pub loss: u64,
     pub duplicates: u64,
     pub late: u64,
-    pub watch_faults: WatchFaults,
+    pub monitor_faults: MonitorFaults,
     pub supervisor_faults: SupervisorFaults,
 }
 
-type Entry = (u64, u64);
-type Snapshot = (Rc<Vec<Entry>>, usize);
+type LogEntry = (u64, u64);
+type LogSnapshot = (Rc<Vec<LogEntry>>, usize);
 
-struct Database {
+struct ModelDatabase {
     term: u64,
     primary: bool,
-    log: Rc<Vec<Entry>>,
+    log: Rc<Vec<LogEntry>>,
     applied: usize,
     term_start: usize,
     following: Option<usize>,
@@ -63,13 +63,13 @@
     cut_until: u64,
 }
 
-struct Node {
-    watch: ClusterWatch,
+struct ModelNode {
+    monitor: ClusterWatch,
     supervisor: Supervisor,
     paused_until: u64,
     timer_at: u64,
-    /// Snapshots behind the reports that were delivered, by database and begin of the round.
-    seen: HashMap<(usize, u64), Snapshot>,
+    /// Logs that the delivered reports describe, by database and begin of the round.
+    reported_logs: HashMap<(usize, u64), LogSnapshot>,
 }
 
 #[derive(Clone)]
@@ -83,61 +83,103 @@
 
 #[derive(Clone)]
 enum Message {
-    Request { node: usize, database: usize, request: Request },
-    Report { node: usize, database: usize, round: u64, report: DatabaseReport, snapshot: Snapshot },
-    ReportFailed { node: usize, database: usize, round: u64 },
-    Supervisor { node: usize, event: SupervisorEvent },
-    Written { node: usize, id: u64, label: u64 },
-    AskView { from: usize, to: usize },
-    PlatformRead { node: usize },
-    PlatformWrite { node: usize, index: u64, record: LeaderRecord },
-    Log { database: usize, leader: usize, term: u64, log: Rc<Vec<Entry>> },
-    Pull { database: usize },
+    Request {
+        node: usize,
+        database: usize,
+        request: Request,
+    },
+    Report {
+        node: usize,
+        database: usize,
+        round: u64,
+        report: DatabaseReport,
+        snapshot: LogSnapshot,
+    },
+    ReportFailed {
+        node: usize,
+        database: usize,
+        round: u64,
+    },
+    Supervisor {
+        node: usize,
+        event: SupervisorEvent,
+    },
+    Written {
+        node: usize,
+        id: u64,
+        label: u64,
+    },
+    AskView {
+        from: usize,
+        to: usize,
+    },
+    PlatformRead {
+        node: usize,
+    },
+    PlatformWrite {
+        node: usize,
+        index: u64,
+        record: LeaderRecord,
+    },
+    Log {
+        database: usize,
+        leader: usize,
+        term: u64,
+        log: Rc<Vec<LogEntry>>,
+    },
+    Pull {
+        database: usize,
+    },
     Client,
-    Timer { node: usize },
-    MoveLeader { node: usize },
-    Fault(Fault),
+    Timer {
+        node: usize,
+    },
+    BeginSwitchover {
+        node: usize,
+    },
+    Fault(InjectedFault),
 }
 
-/// The first entries of a term come from its start; the rest carry the time they were committed.
-struct TermTruth {
+/// The log of a term's primary. Entries from before the promotion have the time 0, the others the time
+/// of their commit.
+struct TermHistory {
     promoted_at: u64,
-    log: Vec<(Entry, u64)>,
+    log: Vec<(LogEntry, u64)>,
 }
 
-pub struct World {
-    options: Options,
+pub struct ClusterModel {
+    options: ModelOptions,
     random: u64,
     now: u64,
     sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     messages: HashMap<u64, Message>,
-    databases: Vec<Database>,
-    nodes: Vec<Node>,
-    cuts: [[u64; COUNT]; COUNT],
-    platform_away_until: u64,
+    databases: Vec<ModelDatabase>,
+    nodes: Vec<ModelNode>,
+    cuts: [[u64; NODE_COUNT]; NODE_COUNT],
+    platform_unavailable_until: u64,
     record: Option<LeaderRecord>,
     index: u64,
     next_id: u64,
-    terms: BTreeMap<u64, TermTruth>,
-    /// Where an entry stands in each log that has it. Logs that agree at one index agree before it,
-    /// because entries of a term come from one primary, so one look replaces a search of the log.
-    places: HashMap<Entry, usize>,
-    /// The first entry of each commit.
-    commits: HashMap<u64, Entry>,
-    /// Entry and arrival of the response, by commit.
+    terms: BTreeMap<u64, TermHistory>,
+    /// Index of each entry in every log that has it. Logs that agree at one index agree before it,
+    /// because entries of a term come from one primary, so no log needs to be searched.
+    entry_positions: HashMap<LogEntry, usize>,
+    /// First entry of each commit.
+    commits: HashMap<u64, LogEntry>,
+    /// Arrival of the response, by commit.
     responses: HashMap<u64, u64>,
-    durable: Vec<Entry>,
-    floors: Vec<(SessionFloor, Entry)>,
+    durable: Vec<LogEntry>,
+    required_positions: Vec<(SessionFloor, LogEntry)>,
     pub violation: Option<String>,
     pub acknowledged: usize,
     pub unknown: usize,
-    pub lost_notices: usize,
+    pub reported_lost: usize,
     pub uncertain: usize,
     pub met: usize,
     pub proofs: usize,
-    /// Time of each first LeaderChanged of a term.
-    pub opened: BTreeMap<u64, u64>,
+    /// Time of the first `LeaderChanged` of each term.
+    pub confirmed_terms: BTreeMap<u64, u64>,
 }
 
 fn name(prefix: &str, index: usize) -> Name {
@@ -145,7 +187,7 @@
 }
 
 /// Length of the part that two logs share.
-fn common_length(left: &[(Entry, u64)], right: &[(Entry, u64)]) -> usize {
+fn common_length(left: &[(LogEntry, u64)], right: &[(LogEntry, u64)]) -> usize {
     let (mut low, mut high) = (0, left.len().min(right.len()));
     while low < high {
         let middle = low + (high - low) / 2;
@@ -161,17 +203,17 @@
     name[1..].parse().unwrap()
 }
 
-impl World {
-    pub fn new(options: Options) -> Self {
-        let names: Vec<Name> = (0..COUNT).map(|index| name("d", index)).collect();
-        let mut world = World {
+impl ClusterModel {
+    pub fn new(options: ModelOptions) -> Self {
+        let names: Vec<Name> = (0..NODE_COUNT).map(|index| name("d", index)).collect();
+        let mut model = ClusterModel {
             random: options.seed,
             now: 1_000,
             sequence: 0,
             queue: BinaryHeap::new(),
             messages: HashMap::new(),
-            databases: (0..COUNT)
-                .map(|_| Database {
+            databases: (0..NODE_COUNT)
+                .map(|_| ModelDatabase {
                     term: 0,
                     primary: false,
                     log: Rc::default(),
@@ -183,53 +225,53 @@
                     cut_until: 0,
                 })
                 .collect(),
-            nodes: (0..COUNT)
+            nodes: (0..NODE_COUNT)
                 .map(|index| {
-                    let mut watch = ClusterWatch::new(WatchConfig::default(), names.clone());
-                    watch.set_faults(options.watch_faults);
+                    let mut monitor = ClusterWatch::new(WatchConfig::default(), names.clone());
+                    monitor.set_faults(options.monitor_faults);
                     let seed = options.seed + index as u64;
                     let mut supervisor = Supervisor::new(name("n", index), names.clone(), seed);
                     supervisor.set_faults(options.supervisor_faults);
-                    Node {
-                        watch,
+                    ModelNode {
+                        monitor,
                         supervisor,
                         paused_until: 0,
                         timer_at: u64::MAX,
-                        seen: HashMap::new(),
+                        reported_logs: HashMap::new(),
                     }
                 })
                 .collect(),
-            cuts: [[0; COUNT]; COUNT],
-            platform_away_until: 0,
+            cuts: [[0; NODE_COUNT]; NODE_COUNT],
+            platform_unavailable_until: 0,
             record: None,
             index: 0,
             next_id: 1,
             terms: BTreeMap::new(),
-            places: HashMap::new(),
+            entry_positions: HashMap::new(),
             commits: HashMap::new(),
             responses: HashMap::new(),
             durable: Vec::new(),
-            floors: Vec::new(),
+            required_positions: Vec::new(),
             violation: None,
             acknowledged: 0,
             unknown: 0,
-            lost_notices: 0,
+            reported_lost: 0,
             uncertain: 0,
             met: 0,
             proofs: 0,
-            opened: BTreeMap::new(),
+            confirmed_terms: BTreeMap::new(),
             options,
         };
-        for index in 0..COUNT {
-            world.push(1, Message::Timer { node: index });
-            world.nodes[index].timer_at = world.now + 1;
-            world.push(10_000, Message::Pull { database: index });
+        for index in 0..NODE_COUNT {
+            model.push(1, Message::Timer { node: index });
+            model.nodes[index].timer_at = model.now + 1;
+            model.push(10_000, Message::Pull { database: index });
         }
-        world.push(1_000, Message::Client);
-        for fault in world.options.faults.clone() {
-            world.push(fault.at * 1_000, Message::Fault(fault));
+        model.push(1_000, Message::Client);
+        for fault in model.options.faults.clone() {
+            model.push(fault.at * 1_000, Message::Fault(fault));
         }
-        world
+        model
     }
 
     /// Runs until the given time in milliseconds or a violation.
@@ -252,10 +294,10 @@
         self.databases.iter().position(|database| database.primary && database.term == newest)
     }
 
-    /// Nodes whose watch confirmed a round within the last 1.5 s.
-    pub fn confirming(&self) -> usize {
-        let fresh = |node: &&Node| {
-            let view = node.watch.view(Micros(self.now));
+    /// Nodes whose monitor confirmed a round within the last 1.5 s.
+    pub fn confirming_nodes(&self) -> usize {
+        let fresh = |node: &&ModelNode| {
+            let view = node.monitor.view(Micros(self.now));
             view.confirmed_ago.is_some_and(|ago| ago < Micros::from_millis(1_500))
         };
         self.nodes.iter().filter(fresh).count()
@@ -274,7 +316,8 @@
         self.queue.push(Reverse((self.now + delay, self.sequence)));
     }
 
-    /// Sends over the network: lost, duplicated or late at times. Returns whether it was lost.
+    /// Sends over the network, which may lose, duplicate or delay the message. Returns whether it was
+    /// lost.
     fn send(&mut self, message: Message) -> bool {
         if self.random(1_000) < self.options.loss {
             return true;
@@ -288,7 +331,7 @@
         false
     }
 
-    fn fail(&mut self, text: String) {
+    fn record_violation(&mut self, text: String) {
         self.violation.get_or_insert(format!("at {} us: {text}", self.now));
     }
 
@@ -309,14 +352,14 @@
     }
 
     fn deliver(&mut self, message: Message) {
-        // A paused node and a frozen database handle everything later.
+        // Messages to a paused node or a frozen database are delivered later.
         let node = match &message {
             Message::Report { node, .. }
             | Message::ReportFailed { node, .. }
             | Message::Supervisor { node, .. }
             | Message::Written { node, .. }
             | Message::AskView { to: node, .. }
-            | Message::MoveLeader { node }
+            | Message::BeginSwitchover { node }
             | Message::Timer { node } => Some(*node),
             _ => None,
         };
@@ -336,7 +379,7 @@
             && self.databases[database].frozen_until > self.now
         {
             let wait = self.databases[database].frozen_until - self.now;
-            // Half of what reaches a frozen database is lost.
+            // Half of the messages to a frozen database are lost.
             if matches!(message, Message::Pull { .. }) || self.random(2) == 0 {
                 self.push(wait, message);
             }
@@ -347,32 +390,32 @@
             Message::Report { node, database, round, report, snapshot } => {
                 let event =
                     WatchEvent::ReportArrived { database: name("d", database), round, report };
-                let before = self.nodes[node].watch.report(&name("d", database));
-                self.watch(node, event);
-                let after = self.nodes[node].watch.report(&name("d", database));
+                let before = self.nodes[node].monitor.report(&name("d", database));
+                self.drive_monitor(node, event);
+                let after = self.nodes[node].monitor.report(&name("d", database));
                 if let Some((began, latest)) = after
                     && before.is_none_or(|(old, _)| old < began)
                     && latest == report
                 {
-                    self.nodes[node].seen.insert((database, began.0), snapshot);
+                    self.nodes[node].reported_logs.insert((database, began.0), snapshot);
                 }
                 let event = SupervisorEvent::ReportSeen { database: name("d", database), report };
-                self.supervise(node, event);
+                self.drive_supervisor(node, event);
                 self.check_reads(node);
             }
             Message::ReportFailed { node, database, round } => {
                 let database = name("d", database);
-                self.watch(node, WatchEvent::ReportFailed { database, round });
+                self.drive_monitor(node, WatchEvent::ReportFailed { database, round });
             }
-            Message::Supervisor { node, event } => self.supervise(node, event),
+            Message::Supervisor { node, event } => self.drive_supervisor(node, event),
             Message::Written { node, id, label } => {
                 self.responses.insert(id, self.now);
                 let durable = id.is_multiple_of(2);
                 let (commit, term) = (CommitId(id), Term(label));
-                self.watch(node, WatchEvent::CommitFinished { commit, term, durable });
+                self.drive_monitor(node, WatchEvent::CommitFinished { commit, term, durable });
             }
             Message::AskView { from, to } => {
-                let view = self.nodes[to].watch.view(Micros(self.now));
+                let view = self.nodes[to].monitor.view(Micros(self.now));
                 let event = SupervisorEvent::ViewArrived { from: name("n", to), view: Some(view) };
                 self.send(Message::Supervisor { node: from, event });
             }
@@ -381,7 +424,7 @@
                 self.answer_platform(node, SupervisorEvent::RecordRead { record, index });
             }
             Message::PlatformWrite { node, index, record } => {
-                let applied = index == self.index && self.platform_away_until <= self.now;
+                let applied = index == self.index && self.platform_unavailable_until <= self.now;
                 if applied {
                     self.record = Some(record);
                     self.index += 1;
@@ -408,8 +451,8 @@
             Message::Client => {
                 let wait = 2_000 + self.random(30_000);
                 self.push(wait, Message::Client);
-                let node = self.random(COUNT as u64) as usize;
-                let view = self.nodes[node].watch.view(Micros(self.now));
+                let node = self.random(NODE_COUNT as u64) as usize;
+                let view = self.nodes[node].monitor.view(Micros(self.now));
                 if let Some(leader) = view.leader
                     && self.nodes[node].paused_until <= self.now
                 {
@@ -420,9 +463,9 @@
                     self.send(Message::Request { node, database, request });
                 }
             }
-            Message::MoveLeader { node } => {
-                let term = self.nodes[node].watch.view(Micros(self.now)).term;
-                self.supervise(node, SupervisorEvent::LeaderLeaving { term });
+            Message::BeginSwitchover { node } => {
+                let term = self.nodes[node].monitor.view(Micros(self.now)).term;
+                self.drive_supervisor(node, SupervisorEvent::LeaderLeaving { term });
             }
             Message::Timer { node } => {
                 if self.nodes[node].timer_at > self.now {
@@ -430,20 +473,20 @@
                 }
                 self.nodes[node].timer_at = u64::MAX;
                 let now = Micros(self.now);
-                if self.nodes[node].watch.next_timer().is_some_and(|at| at <= now) {
-                    self.watch(node, WatchEvent::Timer);
+                if self.nodes[node].monitor.next_timer().is_some_and(|at| at <= now) {
+                    self.drive_monitor(node, WatchEvent::Timer);
                 }
                 if self.nodes[node].supervisor.next_timer().is_some_and(|at| at <= now) {
-                    self.supervise(node, SupervisorEvent::Timer);
+                    self.drive_supervisor(node, SupervisorEvent::Timer);
                 }
-                self.arm(node);
+                self.schedule_timer(node);
             }
-            Message::Fault(fault) => self.disturb(fault),
+            Message::Fault(fault) => self.inject(fault),
         }
     }
 
-    fn disturb(&mut self, fault: Fault) {
-        let until = self.now + fault.lasts * 1_000;
+    fn inject(&mut self, fault: InjectedFault) {
+        let until = self.now + fault.duration * 1_000;
         match fault.kind {
             FaultKind::FreezeDatabase(index) => self.databases[index].frozen_until = until,
             FaultKind::FreezePrimary => {
@@ -454,12 +497,12 @@
             FaultKind::PauseNode(index) => self.nodes[index].paused_until = until,
             FaultKind::CutReport(node, index) => self.cuts[node][index] = until,
             FaultKind::CutReplication(index) => self.databases[index].cut_until = until,
-            FaultKind::PlatformAway => self.platform_away_until = until,
+            FaultKind::PlatformUnavailable => self.platform_unavailable_until = until,
             FaultKind::Leaving(index) => {
-                for node in 0..COUNT {
+                for node in 0..NODE_COUNT {
                     self.nodes[node].supervisor.set_leaving(vec![name("d", index)]);
                     for wait in (0..until - self.now).step_by(500_000) {
-                        self.push(wait, Message::MoveLeader { node });
+                        self.push(wait, Message::BeginSwitchover { node });
                     }
                 }
             }
@@ -467,9 +510,10 @@
     }
 
     fn answer_platform(&mut self, node: usize, event: SupervisorEvent) {
-        let silent = self.platform_away_until > self.now || self.random(1_000) < self.options.loss;
+        let silent =
+            self.platform_unavailable_until > self.now || self.random(1_000) < self.options.loss;
         if silent {
-            // The client gives up, or says nothing at all.
+            // The platform's client reports the failure only half of the time.
             if self.random(2) == 0 {
                 let event = SupervisorEvent::PlatformFailed;
                 self.push(1_500_000, Message::Supervisor { node, event });
@@ -532,7 +576,7 @@
                     return;
                 }
                 let entry = (database.term, id);
-                self.places.entry(entry).or_insert(database.log.len());
+                self.entry_positions.entry(entry).or_insert(database.log.len());
                 let first = self.commits.entry(id).or_insert(entry);
                 *first = (*first).min(entry);
                 Rc::make_mut(&mut database.log).push(entry);
@@ -547,19 +591,20 @@
 
     fn record_promotion(&mut self, index: usize, term: u64) {
         let log = self.databases[index].log.clone();
-        // A late order may still promote a database in an older term than the entries; it leads nobody.
+        // A late order may still promote a database in an older term than the entries; no database follows
+        // it.
         let mut older = self.durable.iter().filter(|entry| entry.0 < term);
-        if let Some(lost) = older.find(|entry| !self.holds(&log, entry)).copied() {
-            self.fail(format!("term {term} lacks the durable entry {lost:?}"));
+        if let Some(lost) = older.find(|entry| !self.has_entry(&log, entry)).copied() {
+            self.record_violation(format!("term {term} lacks the durable entry {lost:?}"));
         }
         let now = self.now;
         let log = log.iter().map(|entry| (*entry, 0)).collect();
-        if self.terms.insert(term, TermTruth { promoted_at: now, log }).is_some() {
-            self.fail(format!("two leaders in term {term}"));
+        if self.terms.insert(term, TermHistory { promoted_at: now, log }).is_some() {
+            self.record_violation(format!("two leaders in term {term}"));
         }
     }
 
-    fn replicate(&mut self, index: usize, leader: usize, term: u64, log: Rc<Vec<Entry>>) {
+    fn replicate(&mut self, index: usize, leader: usize, term: u64, log: Rc<Vec<LogEntry>>) {
         let limit = self.random(6) as usize;
         let lag = self.random(3) as usize;
         let database = &mut self.databases[index];
@@ -573,7 +618,7 @@
             own.truncate(common);
             database.synced = true;
         }
-        // `places` relies on logs that agree up to where one is extended.
+        // `entry_positions` relies on logs that agree up to where one is extended.
         if let Some(last) = own.len().checked_sub(1)
             && let Some(entry) = log.get(last)
         {
@@ -587,9 +632,9 @@
         database.applied = applied.max(database.applied.min(own.len()));
     }
 
-    fn watch(&mut self, node: usize, event: WatchEvent) {
+    fn drive_monitor(&mut self, node: usize, event: WatchEvent) {
         let mut actions = Vec::new();
-        self.nodes[node].watch.handle(Micros(self.now), event, &mut actions);
+        self.nodes[node].monitor.handle(Micros(self.now), event, &mut actions);
         for action in actions {
             match action {
                 WatchAction::AskReport { database, round } => {
@@ -607,28 +652,28 @@
                 }
                 WatchAction::OutcomeUnknown { .. } => self.unknown += 1,
                 WatchAction::LeaderChanged { term, leader } => {
-                    self.opened.entry(term.0).or_insert(self.now);
-                    self.supervise(node, SupervisorEvent::LeaderConfirmed { term, leader });
+                    self.confirmed_terms.entry(term.0).or_insert(self.now);
+                    self.drive_supervisor(node, SupervisorEvent::LeaderConfirmed { term, leader });
                 }
                 WatchAction::PrimarySuspected { term } => {
                     let order = node as u32;
-                    self.supervise(node, SupervisorEvent::PrimarySuspected { term, order });
+                    self.drive_supervisor(node, SupervisorEvent::PrimarySuspected { term, order });
                 }
                 WatchAction::SuspicionCleared => {
-                    self.supervise(node, SupervisorEvent::SuspicionCleared);
+                    self.drive_supervisor(node, SupervisorEvent::SuspicionCleared);
                 }
             }
         }
-        self.arm(node);
+        self.schedule_timer(node);
     }
 
-    fn supervise(&mut self, node: usize, event: SupervisorEvent) {
+    fn drive_supervisor(&mut self, node: usize, event: SupervisorEvent) {
         let mut actions = Vec::new();
         self.nodes[node].supervisor.handle(Micros(self.now), event, &mut actions);
         for action in actions {
             let (database, request) = match action {
                 SupervisorAction::AskViews => {
-                    for to in (0..COUNT).filter(|to| *to != node) {
+                    for to in (0..NODE_COUNT).filter(|to| *to != node) {
                         self.send(Message::AskView { from: node, to });
                     }
                     continue;
@@ -654,12 +699,12 @@
             let index = index_of(&database);
             self.send(Message::Request { node, database: index, request });
         }
-        self.arm(node);
+        self.schedule_timer(node);
     }
 
-    fn arm(&mut self, index: usize) {
+    fn schedule_timer(&mut self, index: usize) {
         let node = &self.nodes[index];
-        let timers = [node.watch.next_timer(), node.supervisor.next_timer()];
+        let timers = [node.monitor.next_timer(), node.supervisor.next_timer()];
         let Some(next) = timers.into_iter().flatten().min() else { return };
         let next = next.0.max(self.now + 1);
         if next < node.timer_at {
@@ -668,7 +713,7 @@
         }
     }
 
-    fn check_acknowledgement(&mut self, id: u64, floor: SessionFloor) {
+    fn check_acknowledgement(&mut self, id: u64, required: SessionFloor) {
         self.acknowledged += 1;
         let response = self.responses[&id];
         let entry = self.commits[&id];
@@ -678,87 +723,98 @@
             .find(|(term, truth)| **term > entry.0 && truth.promoted_at < response);
         if let Some((newer, _)) = newer {
             let text = format!("commit {id} of term {} acknowledged, replaced by {newer}", entry.0);
-            self.fail(text);
+            self.record_violation(text);
         }
-        if entry.0 != floor.term.0 {
-            self.fail(format!("commit {id} of term {} has floor {floor:?}", entry.0));
+        if entry.0 != required.term.0 {
+            self.record_violation(format!(
+                "commit {id} of term {} has the required position {required:?}",
+                entry.0
+            ));
         }
-        self.floors.push((floor, entry));
+        self.required_positions.push((required, entry));
         if id.is_multiple_of(2) {
             self.durable.push(entry);
-            let lacking = self.terms.iter().find(|(term, truth)| {
-                let at = self.places[&entry];
+            let missing_in = self.terms.iter().find(|(term, truth)| {
+                let at = self.entry_positions[&entry];
                 **term > entry.0 && truth.log.get(at).is_none_or(|(other, _)| *other != entry)
             });
-            if let Some((term, _)) = lacking {
+            if let Some((term, _)) = missing_in {
                 let text = format!("term {term} lacks the entry {entry:?} acknowledged as durable");
-                self.fail(text);
+                self.record_violation(text);
             }
         }
     }
 
-    /// Whether a log has an entry.
-    fn holds(&self, log: &[Entry], entry: &Entry) -> bool {
-        log.get(self.places[entry]) == Some(entry)
+    /// Whether a log has an entry at its index.
+    fn has_entry(&self, log: &[LogEntry], entry: &LogEntry) -> bool {
+        log.get(self.entry_positions[entry]) == Some(entry)
     }
 
-    /// Whether the log of `term` has the entry at the floor's position. The position may be past the
+    /// Whether the log of `term` has the entry at a required position. The position may be past the
     /// write, because it is the primary's at a later round.
-    fn is_position_kept(&self, floor: SessionFloor, term: u64) -> bool {
-        let at = floor.position.0 as usize - 1;
+    fn is_position_kept(&self, required: SessionFloor, term: u64) -> bool {
+        let at = required.position.0 as usize - 1;
         let entry = |term: u64| self.terms[&term].log.get(at).map(|(entry, _)| *entry);
-        entry(floor.term.0).is_some() && entry(floor.term.0) == entry(term)
+        entry(required.term.0).is_some() && entry(required.term.0) == entry(term)
     }
 
-    /// Compares the age proofs and floors of a node with the truth.
+    /// Checks the age proofs and required positions of a node against the actual history.
     fn check_reads(&mut self, node: usize) {
         if self.random(4) != 0 {
             return;
         }
-        for index in 0..COUNT {
+        for index in 0..NODE_COUNT {
             let database = name("d", index);
-            let watch = &self.nodes[node].watch;
-            let Some((began, _)) = watch.report(&database) else { continue };
-            let Some((log, applied)) = self.nodes[node].seen.get(&(index, began.0)).cloned() else {
+            let monitor = &self.nodes[node].monitor;
+            let Some((began, _)) = monitor.report(&database) else { continue };
+            let Some((log, applied)) =
+                self.nodes[node].reported_logs.get(&(index, began.0)).cloned()
+            else {
                 continue;
             };
             let held = &log[..applied];
-            let watch_term = watch.view(Micros(self.now)).term.0;
-            if let Some(age) = watch.provable_age(Micros(self.now), &database) {
+            let monitor_term = monitor.view(Micros(self.now)).term.0;
+            if let Some(age) = monitor.provable_age(Micros(self.now), &database) {
                 self.proofs += 1;
                 let since = self.now - age.0;
                 let office = self.terms.iter().rfind(|(_, truth)| truth.promoted_at < since);
                 if let Some((term, truth)) = office {
                     let mut needed = truth.log.partition_point(|(_, at)| *at < since);
-                    if *term <= watch_term {
-                        needed = common_length(&truth.log[..needed], &self.terms[&watch_term].log);
+                    if *term <= monitor_term {
+                        needed =
+                            common_length(&truth.log[..needed], &self.terms[&monitor_term].log);
                     }
                     let last = needed.checked_sub(1).map(|last| (truth.log[last].0, last));
                     if last.is_some_and(|(entry, at)| held.get(at) != Some(&entry)) {
                         let text = format!(
                             "age {age} proved for {database} holding {applied} of term \
-                             {watch_term}, but term {term} had {needed} then"
+                             {monitor_term}, but term {term} had {needed} then"
                         );
-                        self.fail(text);
+                        self.record_violation(text);
                         return;
                     }
                 }
             }
-            for _ in 0..8.min(self.floors.len()) {
-                let count = self.floors.len().min(400) as u64;
+            for _ in 0..8.min(self.required_positions.len()) {
+                let count = self.required_positions.len().min(400) as u64;
                 let back = self.random(count) as usize;
-                let (floor, entry) = self.floors[self.floors.len() - 1 - back];
-                match self.nodes[node].watch.floor_state(&database, floor) {
-                    FloorState::Met if !self.holds(held, &entry) => {
-                        self.fail(format!("floor {floor:?} met at {database} without {entry:?}"));
+                let (required, entry) =
+                    self.required_positions[self.required_positions.len() - 1 - back];
+                match self.nodes[node].monitor.floor_state(&database, required) {
+                    FloorState::Met if !self.has_entry(held, &entry) => {
+                        self.record_violation(format!(
+                            "required position {required:?} met at {database} without {entry:?}"
+                        ));
                         return;
                     }
                     FloorState::Met => self.met += 1,
-                    FloorState::Lost { .. } if self.is_position_kept(floor, watch_term) => {
-                        self.fail(format!("floor {floor:?} called lost in term {watch_term}"));
+                    FloorState::Lost { .. } if self.is_position_kept(required, monitor_term) => {
+                        self.record_violation(format!(
+                            "required position {required:?} reported as lost in term {monitor_term}"
+                        ));
                         return;
                     }
-                    FloorState::Lost { .. } => self.lost_notices += 1,
+                    FloorState::Lost { .. } => self.reported_lost += 1,
                     FloorState::Uncertain { .. } => self.uncertain += 1,
                     FloorState::NotYet => {}
                 }
