--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -64,7 +64,7 @@
 /// Time without an answer after which the promotion order is repeated.
 const PROMOTE_REPEAT_INTERVAL: Micros = Micros::from_millis(150);
 /// Backoff before another term: the minimum plus a random part of the jitter.
-const BACKOFF_MIN: Micros = Micros::from_millis(100);
+const MIN_BACKOFF: Micros = Micros::from_millis(100);
 const BACKOFF_JITTER: Micros = Micros::from_millis(500);
 /// Time between two attempts to write the record of a finished promotion.
 const RECORD_RETRY_INTERVAL: Micros = Micros::from_secs(3);
@@ -409,7 +409,7 @@
 
     fn back_off(&mut self, now: Micros) {
         let spread = Micros(self.random.below(BACKOFF_JITTER.0));
-        self.step = PromotionStep::Backoff { until: now + BACKOFF_MIN + spread };
+        self.step = PromotionStep::Backoff { until: now + MIN_BACKOFF + spread };
     }
 
     /// Advances the step whose deadline has passed.
