--- a/crates/admit/src/budget.rs
+++ b/crates/admit/src/budget.rs
@@ -1,18 +1,18 @@
-//! Budget of retries per rank.
+//! Retry budget of each rank.
 
 use model::{Micros, Rank, RankMap};
 
-/// Retries that a rank may make at once, without first tries before.
-const BURST: u64 = 10;
-/// Tenths of a retry that one first try earns.
+/// Retries that a rank may make at once without earlier first attempts.
+const BURST_RETRIES: u64 = 10;
+/// Tenths of a retry that one first attempt earns.
 const EARNED_TENTHS: u64 = 1;
 /// Tenths of a retry that one retry costs.
-const RETRY_TENTHS: u64 = 10;
+const COST_TENTHS: u64 = 10;
 
-/// Token bucket that caps retries at a share of first tries.
+/// Token bucket that limits retries to a share of first attempts.
 ///
-/// In any window the retries of a rank are at most 10% of the rank's first tries in that window, plus
-/// 10. Ranks do not share tokens, so retries of batch work cannot use up those of urgent work.
+/// In any window the retries of a rank are at most 10% of the rank's first attempts in that window,
+/// plus 10. Ranks do not share tokens, so batch retries cannot use up those of urgent requests.
 ///
 /// ```
 /// use admit::RetryBudget;
@@ -35,22 +35,22 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: RankMap([BURST * RETRY_TENTHS; 3]) }
+        RetryBudget { tokens: RankMap([BURST_RETRIES * COST_TENTHS; 3]) }
     }
 }
 
 impl RetryBudget {
-    /// Counts a first try, which earns a part of a retry.
+    /// Counts a first attempt, which earns a part of a retry.
     pub fn first_try(&mut self, _now: Micros, rank: Rank) {
-        self.tokens[rank] = (self.tokens[rank] + EARNED_TENTHS).min(BURST * RETRY_TENTHS);
+        self.tokens[rank] = (self.tokens[rank] + EARNED_TENTHS).min(BURST_RETRIES * COST_TENTHS);
     }
 
     /// Takes one retry; returns false when the budget is used up.
     pub fn take_retry(&mut self, _now: Micros, rank: Rank) -> bool {
-        let Some(rest) = self.tokens[rank].checked_sub(RETRY_TENTHS) else {
+        let Some(remaining) = self.tokens[rank].checked_sub(COST_TENTHS) else {
             return false;
         };
-        self.tokens[rank] = rest;
+        self.tokens[rank] = remaining;
         true
     }
 }
--- a/crates/admit/src/pool.rs
+++ b/crates/admit/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections of one database: which are idle, pinned or opening.
+//! Connection pool of one database.
 //!
 //! Each connection is in one state from the open order until it is lost or its close is ordered, so the
 //! number of connections never exceeds the limit. Events for an unknown connection are ignored.
@@ -7,10 +7,10 @@
 
 use model::{FastMap, Micros};
 
-/// Pause after the first failed open; doubles with each further failure.
-const BACKOFF_LEAST: Micros = Micros::from_millis(50);
-/// Longest pause after failed opens.
-const BACKOFF_MOST: Micros = Micros::from_secs(3);
+/// Backoff after the first failed open; doubles with each further failure.
+const MIN_BACKOFF: Micros = Micros::from_millis(50);
+/// Longest backoff after failed opens.
+const MAX_BACKOFF: Micros = Micros::from_secs(3);
 
 /// Identifies one connection to a backend server within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,7 +19,7 @@
 /// Limits of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolConfig {
-    /// Connections for work, report connections not included.
+    /// Most connections for requests, without report connections.
     pub limit: u32,
     /// Connections that stay open when idle.
     pub keep: u32,
@@ -27,7 +27,7 @@
     pub idle_timeout: Micros,
 }
 
-/// What the pool asks its owner to do.
+/// Action that the driver executes for the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolAction {
     Open(ConnectionId),
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Takes over new limits. Connections above a lower limit are closed by [`ConnectionPool::trim`] as
+    /// Replaces the limits. Connections above a lower limit are closed by [`ConnectionPool::trim`] as
     /// they become idle.
     pub fn reconfigure(&mut self, config: PoolConfig) {
         self.config = config;
     }
 
-    /// Takes the idle connection that was used last. `wanted` requests wait for one in all, this one
-    /// included; opens more up to the limit, with identifiers from `next_id`.
+    /// Takes the most recently used idle connection. Opens more, up to the limit and with identifiers
+    /// from `next_id`, if `wanted` requests (this one included) need them.
     ///
     /// After a failed open nothing is opened for a while, then one connection at a time until one
     /// succeeds; see [`ConnectionPool::next_retry`].
@@ -114,9 +114,9 @@
             self.connections.insert(connection, ConnectionState::Taken);
             missing -= 1;
         }
-        let ahead = self.idle.len() as u32 + self.opening;
+        let available = self.idle.len() as u32 + self.opening;
         let room = self.config.limit.saturating_sub(self.connections.len() as u32);
-        let mut opens = missing.saturating_sub(ahead).min(room);
+        let mut opens = missing.saturating_sub(available).min(room);
         if self.failures > 0 {
             let probe = now >= self.retry_at && self.opening == 0;
             opens = opens.min(u32::from(probe));
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Gives a connection back.
+    /// Releases a connection, which becomes idle.
     pub fn put(&mut self, now: Micros, connection: ConnectionId) {
         let state = self.connections.get_mut(&connection);
         if let Some(state) = state.filter(|state| **state == ConnectionState::Taken) {
@@ -156,8 +156,8 @@
         match self.connections.remove(&connection) {
             Some(ConnectionState::Opening) => {
                 self.opening -= 1;
-                let doubled = BACKOFF_LEAST.0 << self.failures.min(10);
-                self.retry_at = now + Micros(doubled).min(BACKOFF_MOST);
+                let doubled = MIN_BACKOFF.0 << self.failures.min(10);
+                self.retry_at = now + Micros(doubled).min(MAX_BACKOFF);
                 self.failures += 1;
             }
             Some(ConnectionState::Idle) => self.idle.retain(|(idle, _)| *idle != connection),
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -2,22 +2,22 @@
 //!
 //! # Order of grants
 //!
-//! 1. A rank whose *credit* is positive, highest credit first. Credit grows with floor_percent of the
-//!    slot time that all ranks use and shrinks with the slot time of the rank itself. A rank without
-//!    waiting work cannot save credit, and a rank that used free slots does not owe more than its
-//!    longest recent statement, so over any window in which a rank waits it receives its floor, less one
-//!    statement and what is running.
-//! 2. The most urgent rank that has work. Shares that nobody uses go here.
+//! 1. A rank whose *credit* is positive, highest credit first. Credit grows with the rank's minimum share
+//!    of the slot time that all ranks use and shrinks with the slot time of the rank itself. A rank
+//!    without waiting requests cannot accumulate credit, and a rank that used free slots does not owe more
+//!    than its longest recent statement. So over any window in which a rank waits it receives its
+//!    minimum share, less one statement and the running statements.
+//! 2. The most urgent rank with waiting requests. It receives the shares that no rank uses.
 //!
 //! Inside a rank, statements of open transactions go first, since they hold locks and a connection.
 //! Then the caller with the least slot time goes first. A caller that begins to wait starts one mean
-//! statement above the caller served last: it cannot save time up, and a stream of new callers cannot
-//! overtake those that were served once. Its earlier use counts up to two mean statements above, so that
-//! one slow statement does not shut out a caller that seldom sends; a caller that always has work
-//! waiting pays in full.
+//! statement above the caller served last: it cannot accumulate unused time, and a stream of new callers
+//! cannot overtake those that were served once. Its earlier use counts up to two mean statements above,
+//! so that one slow statement does not starve a caller that seldom sends; a caller that always has
+//! requests waiting is charged in full.
 //!
-//! A statement is charged its estimate when it is granted and the difference when it finishes, so
-//! several grants in a row see each other.
+//! A statement is charged its estimate when it is granted and the difference when it finishes, so that
+//! each of several grants in a row takes those before it into update_accounts.
 //!
 //! # Long statements
 //!
@@ -28,11 +28,11 @@
 //! # Deadlines
 //!
 //! The service time of a selector is estimated by a smoothed mean and deviation. A request is refused
-//! when the time left is shorter than expected wait plus mean plus two deviations, so no slot time goes
-//! to an answer that comes too late. The expected wait leans low: a request that is admitted in
-//! error is refused later, while one refused in error could have been served. On arrival the expected
-//! wait may take three quarters of the time that is left after the service; the rest absorbs variance,
-//! and the backlog of a flood drains soon after its end.
+//! when the time left is shorter than expected wait plus mean plus two deviations, so no slot time is
+//! spent on an answer that arrives too late. The expected wait is a low estimate: a request that is
+//! admitted in error is refused later, while one refused in error could have been served. On arrival the
+//! expected wait may take three quarters of the time that is left after the service; the rest absorbs
+//! variance, and lets the backlog of a burst drain soon after the burst.
 //!
 //! # Cost
 //!
@@ -43,22 +43,24 @@
 use model::{FastMap, Micros, Name, Rank, RankConfig, RankMap};
 
 /// Estimate above which a statement counts as long.
-const LONG_STATEMENT: Micros = Micros::from_millis(250);
+const LONG_STATEMENT_TIME: Micros = Micros::from_millis(250);
 /// Estimate for a selector without a finished statement.
-const FIRST_ESTIMATE: Micros = Micros::from_millis(5);
-/// Selectors with an estimate of their own; further ones share the first estimate.
-const ESTIMATE_LIMIT: usize = 1_024;
-/// Idle callers whose slot time is remembered for each rank.
-const IDLE_CALLER_LIMIT: usize = 4_096;
-/// Least debt that a rank may run up, so that very short statements do not turn the floor into turns.
-const LEAST_DEBT: Micros = Micros::from_millis(10);
-/// Time constant with which a long statement is forgotten as a bound of the debt. Forgetting it with the
-/// next short statements would let the rank start another long one before the first is paid for.
-const DEBT_MEMORY: Micros = Micros::from_secs(10);
+const DEFAULT_ESTIMATE: Micros = Micros::from_millis(5);
+/// Most selectors with an estimate of their own; further ones use the default estimate.
+const MAX_ESTIMATES: usize = 1_024;
+/// Most idle callers whose slot time is kept for each rank.
+const MAX_IDLE_CALLERS: usize = 4_096;
+/// Lower limit of the bound on a rank's debt. With a lower bound, ranks with very short statements would
+/// merely alternate instead of receiving their minimum shares.
+const MIN_DEBT_BOUND: Micros = Micros::from_millis(10);
+/// Time constant with which the longest statement decays as the bound of the debt. If the next short
+/// statements lowered the bound at once, the rank could start another long one before it has paid for
+/// the first.
+const DEBT_DECAY_TIME: Micros = Micros::from_secs(10);
 /// Time constant of the smoothed share of slot time that a rank uses.
-const SHARE_SMOOTHING: Micros = Micros::from_millis(500);
+const SHARE_SMOOTHING_TIME: Micros = Micros::from_millis(500);
 
-/// Identifies one request at its pool owner.
+/// Identifies one request at the owner of the database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkId(pub u64);
 
@@ -75,11 +77,11 @@
 pub struct WorkTicket {
     pub work: WorkId,
     pub rank: Rank,
-    /// The caller that the fair share is counted for.
+    /// The caller that the slot time is charged to.
     pub caller: Name,
     /// Point in time by which the answer must be complete.
     pub deadline: Micros,
-    /// Class of statements whose run times resemble each other, for the estimate of the service time.
+    /// Class of statements with similar service times; estimates are kept for each selector.
     pub selector: Name,
     /// The request belongs to an open transaction, which already holds locks and a connection.
     pub in_transaction: bool,
@@ -88,7 +90,7 @@
 /// Why a request was refused before it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The queue of the rank holds its limit.
+    /// The queue of the rank is at its limit.
     QueueFull { limit: u32 },
     /// The expected wait is longer than the time that is left.
     DeadlineUnreachable { expected: Micros },
@@ -124,7 +126,7 @@
 }
 
 impl ServiceEstimate {
-    const FIRST: ServiceEstimate = ServiceEstimate { mean: FIRST_ESTIMATE.0, deviation: 0 };
+    const DEFAULT: ServiceEstimate = ServiceEstimate { mean: DEFAULT_ESTIMATE.0, deviation: 0 };
 
     /// The weights are those of TCP's round-trip estimate.
     fn observe(&mut self, micros: u64) {
@@ -137,56 +139,56 @@
         Micros(self.mean.saturating_add(self.deviation.saturating_mul(2)))
     }
 
-    /// Lets an estimate that refuses every request on its own recover after an outlier.
+    /// Lowers an estimate that alone makes every request refused, so that it recovers after an outlier.
     fn decay(&mut self) {
         self.mean -= self.mean / 16;
         self.deviation -= self.deviation / 16;
     }
 }
 
-/// Sub-queue of a caller: open transactions before new work, short apart from long statements.
+/// Sub-queue of a caller: open transactions apart from new requests, short apart from long statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WorkLane {
+enum SubQueue {
     TransactionShort,
     TransactionLong,
     NewShort,
     NewLong,
 }
 
-impl WorkLane {
-    const ALL: [WorkLane; 4] = [
-        WorkLane::TransactionShort,
-        WorkLane::TransactionLong,
-        WorkLane::NewShort,
-        WorkLane::NewLong,
+impl SubQueue {
+    const ALL: [SubQueue; 4] = [
+        SubQueue::TransactionShort,
+        SubQueue::TransactionLong,
+        SubQueue::NewShort,
+        SubQueue::NewLong,
     ];
 
-    fn of(in_transaction: bool, long: bool) -> WorkLane {
+    fn of(in_transaction: bool, long: bool) -> SubQueue {
         match (in_transaction, long) {
-            (true, false) => WorkLane::TransactionShort,
-            (true, true) => WorkLane::TransactionLong,
-            (false, false) => WorkLane::NewShort,
-            (false, true) => WorkLane::NewLong,
+            (true, false) => SubQueue::TransactionShort,
+            (true, true) => SubQueue::TransactionLong,
+            (false, false) => SubQueue::NewShort,
+            (false, true) => SubQueue::NewLong,
         }
     }
 
     fn is_long(self) -> bool {
-        matches!(self, WorkLane::TransactionLong | WorkLane::NewLong)
+        matches!(self, SubQueue::TransactionLong | SubQueue::NewLong)
     }
 
     fn is_new(self) -> bool {
-        matches!(self, WorkLane::NewShort | WorkLane::NewLong)
+        matches!(self, SubQueue::NewShort | SubQueue::NewLong)
     }
 }
 
 /// A request that waits.
 #[derive(Debug)]
-struct WaitingWork {
+struct WaitingRequest {
     rank: Rank,
     caller: usize,
     selector: Name,
     sequence: u64,
-    lane: WorkLane,
+    sub_queue: SubQueue,
     arrived: Micros,
     /// Mean service time that the rank's backlog was charged with.
     charged: u64,
@@ -196,7 +198,7 @@
 
 /// A statement that holds a slot.
 #[derive(Debug)]
-struct RunningWork {
+struct RunningRequest {
     rank: Rank,
     caller: usize,
     selector: Name,
@@ -209,45 +211,46 @@
 #[derive(Debug)]
 struct CallerState {
     name: Name,
-    /// Slot time used, in the rank's virtual time.
+    /// Slot time charged, on the scale of the rank's virtual time.
     used: u64,
     /// Order among callers with the same slot time.
     activated: u64,
-    lanes: [BTreeMap<u64, WorkId>; 4],
-    /// Sum of the charges of waiting work.
+    sub_queues: [BTreeMap<u64, WorkId>; 4],
+    /// Sum of the charges of waiting requests.
     backlog: u64,
     running: u32,
 }
 
 impl CallerState {
     fn is_waiting(&self) -> bool {
-        self.lanes.iter().any(|lane| !lane.is_empty())
+        self.sub_queues.iter().any(|sub_queue| !sub_queue.is_empty())
     }
 
-    /// Place among the callers of the rank.
-    fn place(&self, index: usize) -> (u64, u64, usize) {
+    /// Key that orders the callers of the rank.
+    fn order_key(&self, index: usize) -> (u64, u64, usize) {
         (self.used, self.activated, index)
     }
 
     fn new_count(&self) -> usize {
-        self.lanes[WorkLane::NewShort as usize].len() + self.lanes[WorkLane::NewLong as usize].len()
+        self.sub_queues[SubQueue::NewShort as usize].len()
+            + self.sub_queues[SubQueue::NewLong as usize].len()
     }
 }
 
-/// One rank: its callers in the order of their slot time, for each lane.
+/// One rank: its callers in the order of their slot time, for each sub-queue.
 #[derive(Debug, Default)]
 struct RankQueue {
     callers: Vec<Option<CallerState>>,
     free: Vec<usize>,
     index: FastMap<Name, usize>,
-    /// Callers with work in the lane, by (slot time, order, index).
+    /// Callers with requests in the sub-queue, by (slot time, activation, index).
     order: [BTreeSet<(u64, u64, usize)>; 4],
-    /// Callers without work whose slot time is ahead of the rest.
+    /// Callers without waiting requests, by (slot time, index).
     idle: BTreeSet<(u64, usize)>,
     /// Callers by number of waiting requests outside transactions.
-    queued: BTreeSet<(usize, usize)>,
-    /// Slot time of the callers being served.
-    level: u64,
+    callers_by_count: BTreeSet<(usize, usize)>,
+    /// Virtual time: highest slot time at which a caller was served.
+    virtual_time: u64,
     waiting: u32,
     /// Waiting requests outside transactions; the limit applies to these.
     waiting_new: u32,
@@ -262,7 +265,7 @@
     credit: i64,
     /// Smoothed time of a statement, in microseconds.
     mean: u64,
-    /// Longest recent statement, in microseconds; fades with time.
+    /// Longest recent statement, in microseconds; decays with time.
     longest: f64,
     /// Smoothed share of the slots in use, from 0 to 1.
     share: f64,
@@ -276,16 +279,16 @@
         self.callers[index].as_mut().expect("an index in use refers to a caller")
     }
 
-    /// Finds a caller or adds it at the level of those being served.
-    fn enter(&mut self, name: &Name) -> usize {
+    /// Finds a caller, or adds it at the rank's virtual time.
+    fn find_or_add_caller(&mut self, name: &Name) -> usize {
         if let Some(index) = self.index.get(name) {
             return *index;
         }
         let state = CallerState {
             name: name.clone(),
-            used: self.level,
+            used: self.virtual_time,
             activated: 0,
-            lanes: Default::default(),
+            sub_queues: Default::default(),
             backlog: 0,
             running: 0,
         };
@@ -303,61 +306,61 @@
         index
     }
 
-    fn remove(&mut self, index: usize) {
+    fn remove_caller(&mut self, index: usize) {
         if let Some(state) = self.callers[index].take() {
             self.index.remove(&state.name);
             self.free.push(index);
         }
     }
 
-    fn insert(&mut self, work: WorkId, waiting: &WaitingWork) {
-        let (least, most) = (self.level + self.mean, self.level + 2 * self.mean);
+    fn insert_request(&mut self, request: WorkId, waiting: &WaitingRequest) {
+        let (least, most) = (self.virtual_time + self.mean, self.virtual_time + 2 * self.mean);
         let state = self.caller(waiting.caller);
         let idle = !state.is_waiting();
-        let key = (state.used, waiting.caller);
+        let idle_key = (state.used, waiting.caller);
         let count = state.new_count();
         if idle {
             state.used = state.used.clamp(least, most);
             state.activated = waiting.sequence;
         }
-        let lane = &mut state.lanes[waiting.lane as usize];
-        let first = lane.is_empty();
-        lane.insert(waiting.sequence, work);
+        let sub_queue = &mut state.sub_queues[waiting.sub_queue as usize];
+        let first = sub_queue.is_empty();
+        sub_queue.insert(waiting.sequence, request);
         state.backlog += waiting.charged;
-        let entry = state.place(waiting.caller);
+        let key = state.order_key(waiting.caller);
         if idle {
-            self.idle.remove(&key);
+            self.idle.remove(&idle_key);
             self.waiting_callers += 1;
         }
         if first {
-            self.order[waiting.lane as usize].insert(entry);
+            self.order[waiting.sub_queue as usize].insert(key);
         }
-        if waiting.lane.is_new() {
-            self.queued.remove(&(count, waiting.caller));
-            self.queued.insert((count + 1, waiting.caller));
+        if waiting.sub_queue.is_new() {
+            self.callers_by_count.remove(&(count, waiting.caller));
+            self.callers_by_count.insert((count + 1, waiting.caller));
             self.waiting_new += 1;
         }
         self.waiting += 1;
         self.backlog += waiting.charged;
     }
 
-    fn take(&mut self, waiting: &WaitingWork) {
+    fn remove_request(&mut self, waiting: &WaitingRequest) {
         let state = self.caller(waiting.caller);
         let count = state.new_count();
         let used = state.used;
-        let entry = state.place(waiting.caller);
-        let lane = &mut state.lanes[waiting.lane as usize];
-        lane.remove(&waiting.sequence);
-        let emptied = lane.is_empty();
+        let key = state.order_key(waiting.caller);
+        let sub_queue = &mut state.sub_queues[waiting.sub_queue as usize];
+        sub_queue.remove(&waiting.sequence);
+        let emptied = sub_queue.is_empty();
         state.backlog -= waiting.charged;
         let idle = !state.is_waiting();
         if emptied {
-            self.order[waiting.lane as usize].remove(&entry);
+            self.order[waiting.sub_queue as usize].remove(&key);
         }
-        if waiting.lane.is_new() {
-            self.queued.remove(&(count, waiting.caller));
+        if waiting.sub_queue.is_new() {
+            self.callers_by_count.remove(&(count, waiting.caller));
             if count > 1 {
-                self.queued.insert((count - 1, waiting.caller));
+                self.callers_by_count.insert((count - 1, waiting.caller));
             }
             self.waiting_new -= 1;
         }
@@ -369,17 +372,17 @@
         self.backlog -= waiting.charged;
     }
 
-    /// Changes the slot time of a caller and its place in the order.
+    /// Changes the slot time of a caller and reorders it.
     fn charge(&mut self, index: usize, more: u64, less: u64) {
         let state = self.caller(index);
-        let (old, old_place) = (state.used, state.place(index));
+        let (old, old_key) = (state.used, state.order_key(index));
         state.used = old.saturating_add(more).saturating_sub(less);
-        let (used, place) = (state.used, state.place(index));
-        let lanes = state.lanes.each_ref().map(|lane| !lane.is_empty());
-        for (order, filled) in self.order.iter_mut().zip(lanes) {
+        let (used, order_key) = (state.used, state.order_key(index));
+        let sub_queues = state.sub_queues.each_ref().map(|sub_queue| !sub_queue.is_empty());
+        for (order, filled) in self.order.iter_mut().zip(sub_queues) {
             if filled {
-                order.remove(&old_place);
-                order.insert(place);
+                order.remove(&old_key);
+                order.insert(order_key);
             }
         }
         if self.idle.remove(&(old, index)) {
@@ -387,51 +390,54 @@
         }
     }
 
-    /// Forgets idle callers whose slot time would not count when they return, and the ones with the
-    /// least if there are too many.
-    fn forget_idle(&mut self) {
+    /// Evicts idle callers whose slot time would not count when they return, and those with the least
+    /// slot time if there are too many.
+    fn evict_idle(&mut self) {
         let empty = self.waiting == 0 && self.running == 0;
-        let mut spared = None;
-        while let Some(&(used, index)) = match spared {
+        let mut skipped = None;
+        while let Some(&(used, index)) = match skipped {
             None => self.idle.first(),
             Some(key) => {
                 self.idle.range((std::ops::Bound::Excluded(key), std::ops::Bound::Unbounded)).next()
             }
         } {
-            if used > self.level + self.mean && !empty && self.idle.len() <= IDLE_CALLER_LIMIT {
+            if used > self.virtual_time + self.mean && !empty && self.idle.len() <= MAX_IDLE_CALLERS
+            {
                 break;
             }
             if self.caller(index).running > 0 {
-                // At most one for each slot.
-                spared = Some((used, index));
+                // At most one caller for each slot is skipped.
+                skipped = Some((used, index));
                 continue;
             }
             self.idle.remove(&(used, index));
-            self.remove(index);
+            self.remove_caller(index);
         }
         if empty {
-            self.level = 0;
+            self.virtual_time = 0;
         }
     }
 
-    /// The lane and caller to serve next. Transactions first, then the least slot time.
-    fn next(&self, long_allowed: bool) -> Option<(WorkLane, usize)> {
-        WorkLane::ALL.chunks(2).find_map(|pair| {
+    /// Returns the sub-queue and caller to serve next: transactions first, then the least slot time.
+    fn next(&self, long_allowed: bool) -> Option<(SubQueue, usize)> {
+        SubQueue::ALL.chunks(2).find_map(|pair| {
             pair.iter()
-                .filter(|lane| long_allowed || !lane.is_long())
-                .filter_map(|lane| Some((*self.order[*lane as usize].first()?, *lane)))
-                .min_by_key(|(place, _)| *place)
-                .map(|((_, _, index), lane)| (lane, index))
+                .filter(|sub_queue| long_allowed || !sub_queue.is_long())
+                .filter_map(|sub_queue| {
+                    Some((*self.order[*sub_queue as usize].first()?, *sub_queue))
+                })
+                .min_by_key(|(order_key, _)| *order_key)
+                .map(|((_, _, index), sub_queue)| (sub_queue, index))
         })
     }
 
-    /// Charges of running statements that have not been used up yet.
+    /// Returns the charges of running statements less the time that they have run.
     fn outstanding(&self, now: Micros) -> u64 {
         let elapsed = u64::from(self.running).saturating_mul(now.0).saturating_sub(self.started);
         self.charged.saturating_sub(elapsed)
     }
 
-    /// Credit after the running statements, in hundredths of a microsecond.
+    /// Returns the credit after the running statements end, in hundredths of a microsecond.
     fn effective_credit(&self, now: Micros) -> i64 {
         self.credit.saturating_sub(hundredths(self.outstanding(now)))
     }
@@ -441,7 +447,7 @@
     i64::try_from(micros.saturating_mul(100)).unwrap_or(i64::MAX)
 }
 
-/// The queue of one database.
+/// Queue of the requests for one database's slots.
 ///
 /// Requests that are refused while they wait, also to make room for another caller, are returned by
 /// [`SlotQueue::expire`]; call it whenever [`SlotQueue::next_expiry`] is due, after
@@ -453,9 +459,9 @@
 ///
 /// let rank = RankConfig { floor_percent: 10, queue_limit: 100 };
 /// let mut queue = SlotQueue::new(QueueConfig { slots: 1, ranks: RankMap([rank; 3]) });
-/// for (work, rank) in [(1, Rank::Batch), (2, Rank::Urgent)] {
+/// for (request, rank) in [(1, Rank::Batch), (2, Rank::Urgent)] {
 ///     let ticket = WorkTicket {
-///         work: WorkId(work),
+///         work: WorkId(request),
 ///         rank,
 ///         caller: "till-7".into(),
 ///         deadline: Micros::from_secs(1),
@@ -473,17 +479,17 @@
 pub struct SlotQueue {
     config: QueueConfig,
     ranks: RankMap<RankQueue>,
-    waiting: FastMap<WorkId, WaitingWork>,
-    running: FastMap<WorkId, RunningWork>,
-    /// Statements that count against the bound for long ones.
+    waiting: FastMap<WorkId, WaitingRequest>,
+    running: FastMap<WorkId, RunningRequest>,
+    /// Running statements that count against the limit for long ones.
     running_long: u32,
-    /// Waiting work by the last moment at which it can start.
+    /// Waiting requests by the last moment at which they can start.
     expiries: BTreeSet<(Micros, WorkId)>,
-    /// Refused work that [`SlotQueue::expire`] has yet to return.
+    /// Refused requests that [`SlotQueue::expire`] has yet to return.
     refused: Vec<(WorkId, RefusalReason)>,
     estimates: FastMap<Name, ServiceEstimate>,
     sequence: u64,
-    accounted: Micros,
+    accounted_at: Micros,
 }
 
 impl SlotQueue {
@@ -499,17 +505,17 @@
             refused: Vec::new(),
             estimates: FastMap::default(),
             sequence: 0,
-            accounted: Micros::ZERO,
+            accounted_at: Micros::ZERO,
         }
     }
 
-    /// Takes over new limits; work that runs or waits stays.
+    /// Replaces the limits; running and waiting requests stay.
     pub fn reconfigure(&mut self, config: QueueConfig) {
         self.config = config;
     }
 
     /// Adds a request. When the queue of its rank is full, the newest request of the caller with the
-    /// most waiting requests is refused, which may be another one than this.
+    /// most waiting requests is refused, which need not be this one.
     ///
     /// A request identifier that is already in the queue must not be used again.
     ///
@@ -518,7 +524,7 @@
     /// Refuses at once when the queue is full or the deadline cannot be met. A request of an open
     /// transaction is not refused for a full queue.
     pub fn enqueue(&mut self, now: Micros, ticket: WorkTicket) -> Result<(), RefusalReason> {
-        self.account(now);
+        self.update_accounts(now);
         let rank = ticket.rank;
         let estimate = self.estimate(&ticket.selector);
         let service = estimate.with_margin();
@@ -528,7 +534,8 @@
             Some(index) => queue.callers[*index].as_ref().map_or(0, |state| state.backlog),
             None => 0,
         };
-        // Callers take turns, so a caller waits for at most as much of each other's work as of its own.
+        // Callers take turns, so a caller waits for at most as much slot time of each other caller as of its
+        // own.
         let turns = u64::from(queue.waiting_callers) + 1;
         let ahead = queue.backlog.min(own.saturating_add(estimate.mean).saturating_mul(turns));
         let wait =
@@ -553,66 +560,71 @@
             self.make_room(rank, &ticket.caller, limit)?;
         }
         self.sequence += 1;
-        let long = rank != Rank::Urgent && Micros(estimate.mean) > LONG_STATEMENT;
-        let waiting = WaitingWork {
+        let long = rank != Rank::Urgent && Micros(estimate.mean) > LONG_STATEMENT_TIME;
+        let waiting = WaitingRequest {
             rank,
-            caller: self.ranks[rank].enter(&ticket.caller),
+            caller: self.ranks[rank].find_or_add_caller(&ticket.caller),
             selector: ticket.selector,
             sequence: self.sequence,
-            lane: WorkLane::of(ticket.in_transaction, long),
+            sub_queue: SubQueue::of(ticket.in_transaction, long),
             arrived: now,
             charged: estimate.mean,
             start_by: ticket.deadline.saturating_sub(service),
         };
-        self.ranks[rank].insert(ticket.work, &waiting);
+        self.ranks[rank].insert_request(ticket.work, &waiting);
         self.expiries.insert((waiting.start_by, ticket.work));
         self.waiting.insert(ticket.work, waiting);
         Ok(())
     }
 
     /// Removes a request that still waits; returns whether it did.
-    pub fn cancel(&mut self, work: WorkId) -> bool {
-        match self.remove_waiting(work) {
+    pub fn cancel(&mut self, request: WorkId) -> bool {
+        match self.remove_waiting(request) {
             Some(waiting) => {
-                self.ranks[waiting.rank].forget_idle();
+                self.ranks[waiting.rank].evict_idle();
                 true
             }
             None => false,
         }
     }
 
-    /// Grants the next slot, if one is free and work waits. Call until it returns `None`.
+    /// Grants the next slot, if one is free and a request waits. Call until it returns `None`.
     pub fn grant(&mut self, now: Micros) -> Option<SlotGrant> {
-        self.account(now);
+        self.update_accounts(now);
         while self.running.len() < self.config.slots as usize {
-            let (rank, lane, caller) = self.choose(now)?;
-            let work = *self.ranks[rank].caller(caller).lanes[lane as usize].first_key_value()?.1;
-            let waiting = self.remove_waiting(work)?;
+            let (rank, sub_queue, caller) = self.choose_next(now)?;
+            let request = *self.ranks[rank].caller(caller).sub_queues[sub_queue as usize]
+                .first_key_value()?
+                .1;
+            let waiting = self.remove_waiting(request)?;
             if waiting.start_by < now {
-                self.refuse(work, rank, RefusalReason::DeadlinePassed);
+                self.refuse(request, rank, RefusalReason::DeadlinePassed);
                 continue;
             }
             let estimate = self.estimate(&waiting.selector);
-            let long = rank != Rank::Urgent && Micros(estimate.mean) > LONG_STATEMENT;
-            if long && !lane.is_long() && !self.is_long_allowed() {
-                // The estimate has grown since the request arrived. Moves at most once.
-                let moved = WaitingWork { lane: WorkLane::of(!lane.is_new(), true), ..waiting };
-                self.ranks[rank].insert(work, &moved);
-                self.expiries.insert((moved.start_by, work));
-                self.waiting.insert(work, moved);
+            let long = rank != Rank::Urgent && Micros(estimate.mean) > LONG_STATEMENT_TIME;
+            if long && !sub_queue.is_long() && !self.is_long_allowed() {
+                // The estimate has grown since the request arrived. A request moves at most once.
+                let moved = WaitingRequest {
+                    sub_queue: SubQueue::of(!sub_queue.is_new(), true),
+                    ..waiting
+                };
+                self.ranks[rank].insert_request(request, &moved);
+                self.expiries.insert((moved.start_by, request));
+                self.waiting.insert(request, moved);
                 continue;
             }
             let queue = &mut self.ranks[rank];
-            queue.level = queue.level.max(queue.caller(caller).used);
+            queue.virtual_time = queue.virtual_time.max(queue.caller(caller).used);
             queue.charge(caller, estimate.mean, 0);
             queue.caller(caller).running += 1;
             queue.running += 1;
             queue.charged += estimate.mean;
             queue.started += now.0;
             queue.granted += 1;
-            queue.forget_idle();
+            queue.evict_idle();
             self.running_long += u32::from(long);
-            let running = RunningWork {
+            let running = RunningRequest {
                 rank,
                 caller,
                 selector: waiting.selector,
@@ -620,28 +632,32 @@
                 charged: estimate.mean,
                 long,
             };
-            self.running.insert(work, running);
-            return Some(SlotGrant { work, rank, waited: now.saturating_sub(waiting.arrived) });
+            self.running.insert(request, running);
+            return Some(SlotGrant {
+                work: request,
+                rank,
+                waited: now.saturating_sub(waiting.arrived),
+            });
         }
         None
     }
 
     /// Returns a slot. Does nothing for a request that holds none.
-    pub fn finish(&mut self, now: Micros, work: WorkId) {
-        let Some((running, time)) = self.release(now, work) else { return };
+    pub fn finish(&mut self, now: Micros, request: WorkId) {
+        let Some((running, time)) = self.release(now, request) else { return };
         let queue = &mut self.ranks[running.rank];
         queue.mean = queue.mean - queue.mean / 16 + time / 16;
         queue.longest = queue.longest.max(time as f64);
         if let Some(estimate) = self.estimates.get_mut(&running.selector) {
             estimate.observe(time);
-        } else if self.estimates.len() < ESTIMATE_LIMIT {
+        } else if self.estimates.len() < MAX_ESTIMATES {
             let estimate = ServiceEstimate { mean: time, deviation: time / 2 };
             self.estimates.insert(running.selector, estimate);
         }
     }
 
-    /// Returns the slot of a request that was given up, such as one whose answer was lost. How long it took
-    /// says nothing of how long others take.
+    /// Returns the slot of a request that was abandoned, such as one whose answer was lost. Its time does
+    /// not change the estimate for others.
     ///
     /// ```
     /// use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
@@ -649,8 +665,8 @@
     ///
     /// let ranks = RankMap([RankConfig { floor_percent: 0, queue_limit: 8 }; 3]);
     /// let mut queue = SlotQueue::new(QueueConfig { slots: 1, ranks });
-    /// let ticket = |work| WorkTicket {
-    ///     work: WorkId(work),
+    /// let ticket = |request| WorkTicket {
+    ///     work: WorkId(request),
     ///     rank: Rank::Urgent,
     ///     caller: "caller".into(),
     ///     deadline: Micros::from_secs(9),
@@ -663,13 +679,13 @@
     /// queue.abandon(Micros::from_secs(1), WorkId(1));
     /// assert_eq!(queue.service_time("sales"), before);
     /// ```
-    pub fn abandon(&mut self, now: Micros, work: WorkId) {
-        self.release(now, work);
+    pub fn abandon(&mut self, now: Micros, request: WorkId) {
+        self.release(now, request);
     }
 
-    fn release(&mut self, now: Micros, work: WorkId) -> Option<(RunningWork, u64)> {
-        self.account(now);
-        let running = self.running.remove(&work)?;
+    fn release(&mut self, now: Micros, request: WorkId) -> Option<(RunningRequest, u64)> {
+        self.update_accounts(now);
+        let running = self.running.remove(&request)?;
         let time = now.saturating_sub(running.started).0;
         let queue = &mut self.ranks[running.rank];
         queue.running -= 1;
@@ -677,7 +693,7 @@
         queue.started -= running.started.0;
         queue.caller(running.caller).running -= 1;
         queue.charge(running.caller, time, running.charged);
-        queue.forget_idle();
+        queue.evict_idle();
         self.running_long -= u32::from(running.long);
         Some((running, time))
     }
@@ -685,19 +701,19 @@
     /// Removes the requests whose deadline can no longer be met, and returns them together with those
     /// refused to make room for others.
     pub fn expire(&mut self, now: Micros) -> Vec<(WorkId, RefusalReason)> {
-        while let Some(&(start_by, work)) = self.expiries.first() {
+        while let Some(&(start_by, request)) = self.expiries.first() {
             if start_by >= now {
                 break;
             }
-            if let Some(waiting) = self.remove_waiting(work) {
-                self.refuse(work, waiting.rank, RefusalReason::DeadlinePassed);
-                self.ranks[waiting.rank].forget_idle();
+            if let Some(waiting) = self.remove_waiting(request) {
+                self.refuse(request, waiting.rank, RefusalReason::DeadlinePassed);
+                self.ranks[waiting.rank].evict_idle();
             }
         }
         std::mem::take(&mut self.refused)
     }
 
-    /// Returns when [`SlotQueue::expire`] has something to do next; zero if it has already.
+    /// Returns when [`SlotQueue::expire`] is due next; zero if it is due now.
     pub fn next_expiry(&self) -> Option<Micros> {
         if !self.refused.is_empty() {
             return Some(Micros::ZERO);
@@ -705,8 +721,8 @@
         self.expiries.first().map(|(start_by, _)| *start_by + Micros(1))
     }
 
-    /// Returns the expected wait of a request of this rank that arrives now, of a caller that has no
-    /// other waiting.
+    /// Returns the expected wait of a request of this rank that arrives now from a caller without other
+    /// waiting requests.
     pub fn expected_wait(&self, now: Micros, rank: Rank) -> Micros {
         let queue = &self.ranks[rank];
         let mean = queue.backlog / u64::from(queue.waiting.max(1));
@@ -734,14 +750,14 @@
     }
 
     fn estimate(&self, selector: &str) -> ServiceEstimate {
-        self.estimates.get(selector).copied().unwrap_or(ServiceEstimate::FIRST)
+        self.estimates.get(selector).copied().unwrap_or(ServiceEstimate::DEFAULT)
     }
 
     fn is_long_allowed(&self) -> bool {
         self.running_long < self.config.slots.saturating_sub(1).max(1)
     }
 
-    /// Expected time until `ahead` microseconds of waiting work of the rank have been granted.
+    /// Returns the expected time until `ahead` microseconds of the rank's waiting requests were granted.
     fn wait_behind(&self, now: Micros, rank: Rank, ahead: u64) -> Micros {
         let slots = f64::from(self.config.slots.max(1));
         let free = self.running.len() < self.config.slots as usize;
@@ -752,42 +768,43 @@
         }
         let outstanding: u64 =
             Rank::ALL.into_iter().map(|other| self.ranks[other].outstanding(now)).sum();
-        // One slot becomes free after the mean rest of the running statements.
+        // One slot becomes free after the mean remaining time of the running statements.
         let first = if free { 0.0 } else { outstanding as f64 / slots / slots };
         let used: f64 = higher().map(|other| self.ranks[other].share).sum();
-        let floor = f64::from(self.config.ranks[rank].floor_percent) / 100.0;
-        let kept: f64 = Rank::ALL
+        let minimum = f64::from(self.config.ranks[rank].floor_percent) / 100.0;
+        let reserved: f64 = Rank::ALL
             .into_iter()
             .filter(|other| *other > rank && self.ranks[*other].waiting > 0)
             .map(|other| f64::from(self.config.ranks[other].floor_percent) / 100.0)
             .sum();
-        let open = (1.0 - used - kept).max(floor).max(0.01);
+        let open = (1.0 - used - reserved).max(minimum).max(0.01);
         let drained = urgent as f64 / slots + ahead as f64 / (slots * open);
-        let wait = if floor > 0.0 { drained.min(ahead as f64 / (slots * floor)) } else { drained };
+        let wait =
+            if minimum > 0.0 { drained.min(ahead as f64 / (slots * minimum)) } else { drained };
         Micros((first + wait) as u64)
     }
 
     /// Brings credits and slot times up to date.
-    fn account(&mut self, now: Micros) {
-        let elapsed = now.saturating_sub(self.accounted).0;
+    fn update_accounts(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.accounted_at).0;
         if elapsed == 0 {
             return;
         }
-        self.accounted = now;
+        self.accounted_at = now;
         let busy = self.running.len() as u64 * elapsed;
         let slots = f64::from(self.config.slots.max(1));
-        let weight = elapsed as f64 / (elapsed + SHARE_SMOOTHING.0) as f64;
+        let weight = elapsed as f64 / (elapsed + SHARE_SMOOTHING_TIME.0) as f64;
         for rank in Rank::ALL {
-            let floor = u64::from(self.config.ranks[rank].floor_percent);
+            let minimum_percent = u64::from(self.config.ranks[rank].floor_percent);
             let queue = &mut self.ranks[rank];
             let used = u64::from(queue.running) * elapsed;
             queue.slot_time += used;
             queue.share += (f64::from(queue.running) / slots - queue.share) * weight;
-            queue.longest *= DEBT_MEMORY.0 as f64 / (elapsed + DEBT_MEMORY.0) as f64;
-            let gain = i64::try_from(floor.saturating_mul(busy)).unwrap_or(i64::MAX);
+            queue.longest *= DEBT_DECAY_TIME.0 as f64 / (elapsed + DEBT_DECAY_TIME.0) as f64;
+            let gain = i64::try_from(minimum_percent.saturating_mul(busy)).unwrap_or(i64::MAX);
             let running = u64::from(queue.running).saturating_mul(now.0);
             let oldest = running.saturating_sub(queue.started);
-            let debt = hundredths((queue.longest as u64).max(oldest).max(LEAST_DEBT.0));
+            let debt = hundredths((queue.longest as u64).max(oldest).max(MIN_DEBT_BOUND.0));
             queue.credit = queue.credit.saturating_add(gain).saturating_sub(hundredths(used));
             queue.credit = queue.credit.max(-debt);
             if queue.waiting == 0 {
@@ -796,8 +813,8 @@
         }
     }
 
-    /// Chooses the rank, lane and caller to serve next.
-    fn choose(&self, now: Micros) -> Option<(Rank, WorkLane, usize)> {
+    /// Chooses the rank, sub-queue and caller to serve next.
+    fn choose_next(&self, now: Micros) -> Option<(Rank, SubQueue, usize)> {
         let mut order = Rank::ALL.map(|rank| {
             let credit = self.ranks[rank].effective_credit(now).max(0);
             (std::cmp::Reverse(credit), rank)
@@ -805,13 +822,13 @@
         order.sort_unstable();
         order.into_iter().find_map(|(_, rank)| {
             let long_allowed = rank == Rank::Urgent || self.is_long_allowed();
-            let (lane, caller) = self.ranks[rank].next(long_allowed)?;
-            Some((rank, lane, caller))
+            let (sub_queue, caller) = self.ranks[rank].next(long_allowed)?;
+            Some((rank, sub_queue, caller))
         })
     }
 
-    /// Refuses the newest request of the caller with the most waiting requests of a rank. The caller
-    /// of the arriving request counts with that request.
+    /// Refuses the newest request of the caller with the most waiting requests of a rank. The
+    /// arriving request counts for its caller.
     fn make_room(&mut self, rank: Rank, arriving: &Name, limit: u32) -> Result<(), RefusalReason> {
         let reason = RefusalReason::QueueFull { limit };
         let queue = &mut self.ranks[rank];
@@ -819,35 +836,35 @@
             Some(index) => queue.caller(*index).new_count(),
             None => 0,
         };
-        let victim = match queue.queued.last() {
+        let victim = match queue.callers_by_count.last() {
             Some(&(count, index)) if count > own + 1 => {
-                let lanes = &queue.caller(index).lanes;
-                let newest = [WorkLane::NewShort, WorkLane::NewLong]
+                let sub_queues = &queue.caller(index).sub_queues;
+                let newest = [SubQueue::NewShort, SubQueue::NewLong]
                     .into_iter()
-                    .filter_map(|lane| lanes[lane as usize].last_key_value())
+                    .filter_map(|sub_queue| sub_queues[sub_queue as usize].last_key_value())
                     .max();
-                newest.map(|(_, work)| *work)
+                newest.map(|(_, request)| *request)
             }
             _ => None,
         };
-        let Some(work) = victim else {
+        let Some(request) = victim else {
             queue.refused += 1;
             return Err(reason);
         };
-        self.remove_waiting(work);
-        self.refuse(work, rank, reason);
+        self.remove_waiting(request);
+        self.refuse(request, rank, reason);
         Ok(())
     }
 
-    fn refuse(&mut self, work: WorkId, rank: Rank, reason: RefusalReason) {
+    fn refuse(&mut self, request: WorkId, rank: Rank, reason: RefusalReason) {
         self.ranks[rank].refused += 1;
-        self.refused.push((work, reason));
+        self.refused.push((request, reason));
     }
 
-    fn remove_waiting(&mut self, work: WorkId) -> Option<WaitingWork> {
-        let waiting = self.waiting.remove(&work)?;
-        self.expiries.remove(&(waiting.start_by, work));
-        self.ranks[waiting.rank].take(&waiting);
+    fn remove_waiting(&mut self, request: WorkId) -> Option<WaitingRequest> {
+        let waiting = self.waiting.remove(&request)?;
+        self.expiries.remove(&(waiting.start_by, request));
+        self.ranks[waiting.rank].remove_request(&waiting);
         Some(waiting)
     }
 }
--- a/crates/admit/tests/pool.rs
+++ b/crates/admit/tests/pool.rs
@@ -7,34 +7,34 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Step {
+enum PoolStep {
     Take(u32),
     Opened(usize),
     Put(usize),
     Lost(usize),
-    Stray(u64),
+    UnknownConnection(u64),
     Trim,
     Limit(u32),
     Wait(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn step() -> impl Strategy<Value = PoolStep> {
     prop_oneof![
-        4 => (0u32..12).prop_map(Step::Take),
-        4 => (0usize..16).prop_map(Step::Opened),
-        3 => (0usize..16).prop_map(Step::Put),
-        2 => (0usize..16).prop_map(Step::Lost),
-        1 => (0u64..40).prop_map(Step::Stray),
-        2 => Just(Step::Trim),
-        1 => (0u32..10).prop_map(Step::Limit),
-        2 => (0u64..40_000_000).prop_map(Step::Wait),
+        4 => (0u32..12).prop_map(PoolStep::Take),
+        4 => (0usize..16).prop_map(PoolStep::Opened),
+        3 => (0usize..16).prop_map(PoolStep::Put),
+        2 => (0usize..16).prop_map(PoolStep::Lost),
+        1 => (0u64..40).prop_map(PoolStep::UnknownConnection),
+        2 => Just(PoolStep::Trim),
+        1 => (0u32..10).prop_map(PoolStep::Limit),
+        2 => (0u64..40_000_000).prop_map(PoolStep::Wait),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    // Guards against connections beyond the limit, taken twice, or forgotten without a close.
+    // Guards against connections that exceed the limit, are taken twice, or are dropped without a close.
     #[test]
     fn no_connection_leaks(steps in prop::collection::vec(step(), 1..200)) {
         let timeout = Micros::from_secs(30);
@@ -46,26 +46,26 @@
             let mut actions = Vec::new();
             let total = opening.len() + idle.len() + taken.len();
             match step {
-                Step::Take(wanted) => {
+                PoolStep::Take(wanted) => {
                     let got = pool.take(now, wanted, &mut next_id, &mut actions);
-                    // The most recently used one.
+                    // The pool takes the most recently used connection.
                     prop_assert_eq!(got, idle.pop());
                     taken.extend(got);
                     let room = (config.limit as usize).saturating_sub(total);
                     prop_assert!(actions.len() <= room.min(wanted.max(1) as usize));
                 }
-                Step::Opened(index) if !opening.is_empty() => {
+                PoolStep::Opened(index) if !opening.is_empty() => {
                     let connection = opening.remove(index % opening.len()).unwrap();
                     pool.opened(now, connection);
                     idle.push(connection);
                 }
-                Step::Put(index) if !taken.is_empty() => {
+                PoolStep::Put(index) if !taken.is_empty() => {
                     let connection = taken.swap_remove(index % taken.len());
                     pool.put(now, connection);
                     pool.put(now, connection);
                     idle.push(connection);
                 }
-                Step::Lost(index) if total > 0 => {
+                PoolStep::Lost(index) if total > 0 => {
                     let index = index % total;
                     let connection: ConnectionId = if index < opening.len() {
                         opening.remove(index).unwrap()
@@ -76,22 +76,22 @@
                     };
                     pool.lost(now, connection);
                 }
-                Step::Stray(id) => {
+                PoolStep::UnknownConnection(id) => {
                     let connection = ConnectionId(1_000_000 + id);
                     pool.opened(now, connection);
                     pool.put(now, connection);
                     pool.lost(now, connection);
                 }
-                Step::Trim => {
+                PoolStep::Trim => {
                     pool.trim(now, &mut actions);
                     prop_assert!(pool.next_trim().is_none_or(|at| at > now));
                 }
-                Step::Limit(limit) => {
+                PoolStep::Limit(limit) => {
                     config.limit = limit;
                     pool.reconfigure(config);
                 }
-                Step::Wait(micros) => now += Micros(micros),
-                Step::Opened(_) | Step::Put(_) | Step::Lost(_) => {}
+                PoolStep::Wait(micros) => now += Micros(micros),
+                PoolStep::Opened(_) | PoolStep::Put(_) | PoolStep::Lost(_) => {}
             }
             for action in actions {
                 match action {
@@ -112,7 +112,8 @@
         }
     }
 
-    // Guards against retries that multiply load: 10% of first tries plus the burst, in any window.
+    // Guards against retries that multiply load: at most 10% of first attempts plus the burst, in any
+    // window.
     #[test]
     fn retries_stay_within_budget(tries in prop::collection::vec(any::<bool>(), 1..2_000)) {
         let mut budget = RetryBudget::default();
@@ -135,7 +136,7 @@
     }
 }
 
-// Guards against a storm of connection attempts at a database that refuses them.
+// Guards against a burst of connection attempts to a database that refuses them.
 #[test]
 fn failed_opens_back_off() {
     let config = PoolConfig { limit: 8, keep: 2, idle_timeout: Micros::from_secs(30) };
