--- a/crates/member/src/spread.rs
+++ b/crates/member/src/gossip.rs
@@ -1,32 +1,32 @@
-//! What this node tells its contacts: recent member changes and document revisions.
+//! State that heartbeats carry to other nodes: recent member changes and document revisions.
 
 use std::collections::VecDeque;
 
 use model::{FastMap, Micros, Name};
 
-/// Changes in one heartbeat.
-pub(crate) const CHANGE_LIMIT: usize = 8;
+/// Most changes in one heartbeat.
+pub(crate) const MAX_CHANGES: usize = 8;
 
-/// Heartbeats to each contact that repeat a change after it was forwarded, against loss.
-const REPEATS: u8 = 2;
+/// Heartbeats to each contact that repeat a forwarded change, in case it was lost.
+const CHANGE_REPEATS: u8 = 2;
 
-/// Shortest time between two rounds of forwarded changes. It bounds the messages of a node while
+/// Shortest time between two rounds of forwarded changes, which bounds the messages of a node while
 /// many members change at once.
 const FORWARD_INTERVAL: Micros = Micros::from_millis(100);
 
 /// Time after which a document is pulled again if it has not arrived.
-const PULL_RETRY: Micros = Micros::from_secs(1);
+const PULL_RETRY_INTERVAL: Micros = Micros::from_secs(1);
 
-/// Documents whose revisions a node tracks. Heartbeats carry all of them.
-const DOCUMENT_LIMIT: usize = 32;
+/// Most documents whose revisions a node tracks. Heartbeats carry all of them.
+const MAX_DOCUMENTS: usize = 32;
 
-/// Queue of member changes that contacts have not heard yet, and of those to repeat.
+/// Member changes that have yet to be forwarded to the contacts, and those to repeat.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeQueue {
-    fresh: VecDeque<Name>,
-    /// Newest first, with the repeats left.
-    recent: VecDeque<(Name, u8)>,
-    /// Set while there is something to forward.
+    unsent: VecDeque<Name>,
+    /// Forwarded changes, newest first, with the number of repeats left.
+    repeating: VecDeque<(Name, u8)>,
+    /// When the next round of forwarded changes is due; `None` if there is nothing to forward.
     due: Option<Micros>,
     last: Option<Micros>,
 }
@@ -34,13 +34,13 @@
 impl ChangeQueue {
     /// Adds a member whose entry changed.
     pub(crate) fn push(&mut self, now: Micros, name: &Name) {
-        if !self.fresh.contains(name) {
-            self.fresh.push_back(name.clone());
+        if !self.unsent.contains(name) {
+            self.unsent.push_back(name.clone());
         }
         self.request(now);
     }
 
-    /// Asks for a round of heartbeats, also without a change.
+    /// Requests a round of heartbeats, also without a change.
     pub(crate) fn request(&mut self, now: Micros) {
         let earliest = self.last.map_or(now, |last| (last + FORWARD_INTERVAL).max(now));
         self.due.get_or_insert(earliest);
@@ -52,31 +52,32 @@
 
     /// Takes the changes of one round of forwarded heartbeats.
     pub(crate) fn take_round(&mut self, now: Micros) -> Vec<Name> {
-        let count = self.fresh.len().min(CHANGE_LIMIT);
-        let round: Vec<Name> = self.fresh.drain(..count).collect();
+        let count = self.unsent.len().min(MAX_CHANGES);
+        let round: Vec<Name> = self.unsent.drain(..count).collect();
         for name in &round {
-            self.recent.retain(|(other, _)| other != name);
-            self.recent.push_front((name.clone(), REPEATS));
+            self.repeating.retain(|(other, _)| other != name);
+            self.repeating.push_front((name.clone(), CHANGE_REPEATS));
         }
         self.last = Some(now);
-        self.due = (!self.fresh.is_empty()).then(|| now + FORWARD_INTERVAL);
+        self.due = (!self.unsent.is_empty()).then(|| now + FORWARD_INTERVAL);
         round
     }
 
     /// Returns the newest changes, for an answer.
     pub(crate) fn newest(&self) -> impl Iterator<Item = &Name> {
-        self.fresh.iter().chain(self.recent.iter().map(|(name, _)| name)).take(CHANGE_LIMIT)
+        self.unsent.iter().chain(self.repeating.iter().map(|(name, _)| name)).take(MAX_CHANGES)
     }
 
     /// Takes the changes to repeat in one round of regular heartbeats.
     pub(crate) fn take_repeats(&mut self) -> Vec<Name> {
         let mut repeats = Vec::new();
-        for (name, left) in self.recent.iter_mut().filter(|(_, left)| *left > 0).take(CHANGE_LIMIT)
+        for (name, left) in
+            self.repeating.iter_mut().filter(|(_, left)| *left > 0).take(MAX_CHANGES)
         {
             *left -= 1;
             repeats.push(name.clone());
         }
-        self.recent.retain(|(_, left)| *left > 0);
+        self.repeating.retain(|(_, left)| *left > 0);
         repeats
     }
 }
@@ -85,14 +86,15 @@
 #[derive(Debug, Default)]
 pub(crate) struct RevisionTable {
     held: FastMap<Name, u64>,
-    /// Revision that is being pulled and when to try again.
+    /// Revision that is being pulled and when to retry.
     pulling: FastMap<Name, (u64, Micros)>,
 }
 
 impl RevisionTable {
-    /// Records a revision that this node holds; returns whether it is news.
-    pub(crate) fn hold(&mut self, document: &Name, revision: u64) -> bool {
-        if self.held.len() >= DOCUMENT_LIMIT && !self.held.contains_key(document) {
+    /// Records a revision that this node holds; returns whether it is newer
+    /// than the one before.
+    pub(crate) fn record_held(&mut self, document: &Name, revision: u64) -> bool {
+        if self.held.len() >= MAX_DOCUMENTS && !self.held.contains_key(document) {
             return false;
         }
         let held = self.held.entry(document.clone()).or_default();
@@ -105,7 +107,7 @@
     }
 
     /// Tells whether to pull a document of which a peer holds `revision`.
-    pub(crate) fn wants(&mut self, now: Micros, document: &Name, revision: u64) -> bool {
+    pub(crate) fn should_pull(&mut self, now: Micros, document: &Name, revision: u64) -> bool {
         if self.held.get(document).is_some_and(|held| *held >= revision) || revision == 0 {
             return false;
         }
@@ -116,10 +118,10 @@
         {
             return false;
         }
-        if self.pulling.len() >= DOCUMENT_LIMIT && !self.pulling.contains_key(document) {
+        if self.pulling.len() >= MAX_DOCUMENTS && !self.pulling.contains_key(document) {
             return false;
         }
-        self.pulling.insert(document.clone(), (revision, now + PULL_RETRY));
+        self.pulling.insert(document.clone(), (revision, now + PULL_RETRY_INTERVAL));
         true
     }
 
--- a/crates/member/src/layout.rs
+++ b/crates/member/src/layout.rs
@@ -1,4 +1,4 @@
-//! Orders that follow from the member table: the heartbeat ring, owners and watchers.
+//! Orders derived from the member table: the heartbeat ring, owners and watchers.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,13 +10,13 @@
 /// Contacts at ring offsets 1 and 2, which come first among the contacts.
 const NEAR_CONTACTS: usize = 2;
 
-/// A member as the layout sees it.
+/// The part of a member's entry that the layout depends on.
 pub(crate) struct LayoutMember<'a> {
     pub(crate) name: &'a Name,
     pub(crate) data_centre: &'a Name,
     pub(crate) incarnation: u64,
     pub(crate) leaving: bool,
-    /// Its data centre can be reached from this node's.
+    /// Its data centre is reachable from this node's.
     pub(crate) reachable: bool,
 }
 
@@ -45,20 +45,20 @@
         let mut ranked: BTreeMap<Name, Vec<(bool, Reverse<u64>, Name)>> = BTreeMap::new();
         for member in members {
             let hash = text_hash(member.name);
-            let place = text_hash(member.data_centre);
+            let location = text_hash(member.data_centre);
             let leaving = u64::from(member.leaving);
             // Sums do not depend on the order of the members.
-            let entry = combine(hash, combine(member.incarnation, place ^ leaving));
+            let entry = combine(hash, combine(member.incarnation, location ^ leaving));
             layout.digest = layout.digest.wrapping_add(entry);
             if member.data_centre == own_data_centre {
                 layout.ring.push((hash, member.name.clone()));
             }
             if !member.leaving && member.reachable {
-                layout.owner_digest = layout.owner_digest.wrapping_add(combine(hash, place));
+                layout.owner_digest = layout.owner_digest.wrapping_add(combine(hash, location));
                 let owners = layout.owners.entry(member.data_centre.clone()).or_default();
                 owners.push((hash, member.name.clone()));
             }
-            let rank = (member.leaving, Reverse(combine(place, hash)), member.name.clone());
+            let rank = (member.leaving, Reverse(combine(location, hash)), member.name.clone());
             ranked.entry(member.data_centre.clone()).or_default().push(rank);
         }
         layout.ring.sort();
@@ -75,7 +75,7 @@
         self.ring_neighbours(name, |at, offset, count| (at + offset) % count)
     }
 
-    /// Returns the two members after `name`, whose deaths it has to find out.
+    /// Returns the two members after `name` in the ring, whose failure `name` has to detect.
     pub(crate) fn successors_of(&self, name: &str) -> Vec<Name> {
         let mut contacts = self.contacts_of(name);
         contacts.truncate(NEAR_CONTACTS);
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,12 +1,12 @@
-//! Membership of the fleet, choice of owners, and spread of documents.
+//! Fleet membership, choice of owners, and dissemination of document revisions.
 //!
 //! Each node sends one heartbeat a second to a bounded number of contacts. Changes and new document
-//! revisions are forwarded to the contacts at once; heartbeats repair what was missed.
+//! revisions are forwarded to the contacts at once; later heartbeats make up for lost messages.
 
 mod contact;
+mod gossip;
 mod hash;
 mod layout;
-mod spread;
 mod table;
 
 pub use hash::{owner_score, rank_owners};
--- a/crates/member/src/table.rs
+++ b/crates/member/src/table.rs
@@ -2,16 +2,16 @@
 //!
 //! Failure detection: a node sends heartbeats to its contacts in the ring of its data centre. After
 //! `missed_limit` intervals without an answer it suspects the contact and tells the contact's other
-//! observers and one more node. Each of them either has had an answer itself, and ignores the
-//! suspicion, or has missed the same number of answers, or probes the member. A member is dead when
-//! a second node has no answer either. Suspicions stay between these few nodes; only deaths, joins
-//! and leavings are forwarded to everybody. A member that hears of its own death takes a higher
-//! incarnation, which replaces the death.
+//! observers and one more node. Each of them ignores the suspicion if it received an answer itself,
+//! confirms it if it missed the same number of answers, and probes the member otherwise. A member is
+//! declared dead when a second node gets no answer either. Suspicions are sent only to these few nodes;
+//! deaths, joins and leaves are forwarded to all. A member that learns of its own death refutes it with a
+//! higher incarnation, which replaces the dead entry.
 //!
-//! Data centres: only the watcher sends heartbeats to other data centres, to their watchers. When no
-//! watcher and no successor of it answers, the whole data centre counts as unreachable for the
-//! watcher's data centre: its members own nothing there, but none of them is declared dead, so
-//! nothing has to be refuted when the partition heals. The flag spreads inside the data centre as
+//! Data centres: each has one watcher, the only member that sends heartbeats to other data centres, to
+//! their watchers. When neither the watcher of another data centre nor its successors answer, that data
+//! centre is unreachable from this one: its members own nothing here, but none is declared dead, so
+//! nothing has to be refuted when the partition heals. The flag is disseminated inside the data centre as
 //! revision `reach/OWN/OTHER` (odd: unreachable) among the revisions of documents.
 
 mod detect;
@@ -22,47 +22,48 @@
 use model::{FastMap, FastSet, Micros, Name, SocketAddress};
 
 use crate::contact::ContactTable;
+use crate::gossip::{ChangeQueue, MAX_CHANGES, RevisionTable};
 use crate::layout::{LayoutMember, MemberLayout};
-use crate::spread::{CHANGE_LIMIT, ChangeQueue, RevisionTable};
 
-/// Start of the revisions that carry the reachability of data centres.
+/// Prefix of the revisions that carry the reachability of data centres.
 const REACH_PREFIX: &str = "reach/";
 
 /// Low bits of an incarnation that count refutations; the rest is the start time of the process.
 const REFUTATION_BITS: u32 = 12;
 
-/// Members kept at most, which bounds memory and digests.
-const MEMBER_LIMIT: usize = 4_096;
+/// Most members in a table, which bounds memory and the cost of digests.
+const MAX_MEMBERS: usize = 4_096;
 
-/// Successors of a watcher that are asked when it does not answer.
+/// Successors of a watcher that are contacted while it does not answer.
 const WATCHER_SUCCESSORS: usize = 3;
 
-/// Unknown VMs of the platform's list that are asked in one interval.
-const LISTED_ASKED: usize = 4;
+/// Most unknown VMs of the platform's list that are contacted in one interval.
+const LISTED_PER_ROUND: usize = 4;
 
-/// Heartbeats to an unknown VM of the list before it is left alone until the next list.
-const LISTED_ATTEMPTS: u32 = 3;
+/// Heartbeats to an unknown VM of the list before it is ignored until the next list.
+const MAX_LISTED_ATTEMPTS: u32 = 3;
 
-/// Intervals between two heartbeats to a dead member, which find out that a partition healed.
+/// Intervals between two heartbeats to dead members, which detect that a partition healed.
 const DEAD_PROBE_ROUNDS: u64 = 5;
 
-/// Time that a table must have been quiet, or a digest must have differed, before a table is pulled.
-const QUIET_BEFORE_PULL: Micros = Micros::from_secs(1);
-const DIFFERENCE_BEFORE_PULL: Micros = Micros::from_secs(2);
-const LONG_DIFFERENCE: Micros = Micros::from_secs(5);
+/// A table is pulled once this node's table is unchanged and the digest differs for these times, or once
+/// the digest differs for the long time.
+const PULL_QUIET_TIME: Micros = Micros::from_secs(1);
+const PULL_DIFFERENCE_TIME: Micros = Micros::from_secs(2);
+const PULL_LONG_DIFFERENCE_TIME: Micros = Micros::from_secs(5);
 
-/// Time between two pulls of a node that joins.
+/// Shortest time between two table pulls of a joining node.
 const JOINING_PULL_INTERVAL: Micros = Micros::from_millis(500);
 
-/// Shortest and longest time between two pulls of a table.
+/// Shortest and longest time between two table pulls.
 const MIN_PULL_INTERVAL: Micros = Micros::from_secs(5);
 const MAX_PULL_INTERVAL: Micros = Micros::from_secs(60);
 
-/// Time for which nodes that are no contacts any more are remembered.
-const CONTACT_MEMORY: Micros = Micros::from_secs(10);
+/// Time for which the state of former contacts is kept.
+const CONTACT_RETENTION: Micros = Micros::from_secs(10);
 
-/// A table with fewer members is that of a node that joins: it does not forward what it pulls.
-const JOINING_MEMBERS: usize = 8;
+/// A node with fewer members in its table is joining and does not forward the entries that it pulls.
+const JOINING_MEMBER_LIMIT: usize = 8;
 
 /// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,14 +75,14 @@
     Dead,
 }
 
-/// What is known of a member.
+/// Identity, addresses and state of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberInfo {
     pub name: Name,
     pub data_centre: Name,
     pub peer_address: SocketAddress,
     pub admin_address: SocketAddress,
-    /// Start time of the process; a higher one replaces all that is known of a lower one. In the
+    /// Start time of the process; an entry with a higher one replaces one with a lower one. In the
     /// entries of a [`MemberTable`] the low 12 bits count refutations, see [`MemberInfo::process`].
     pub incarnation: u64,
     pub state: MemberState,
@@ -112,11 +113,11 @@
     pub digest: u64,
     /// Revision of each document that the sender holds.
     pub revisions: Vec<(Name, u64)>,
-    /// Recent changes, at most 8.
+    /// Recently changed entries, at most 8.
     pub changes: Vec<MemberInfo>,
 }
 
-/// Intervals and limits.
+/// Intervals and limits of a member table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberConfig {
     pub heartbeat_interval: Micros,
@@ -125,27 +126,27 @@
     pub distant_rounds: u64,
     /// Missed answers after which a member is suspected.
     pub missed_limit: u32,
-    /// Time that a suspicion needs to become a death if nobody hears the member.
-    pub suspicion: Micros,
+    /// Time after which a suspected member that does not answer is declared dead.
+    pub suspicion_timeout: Micros,
     /// Time after which a dead member is forgotten.
-    pub forget_after: Micros,
+    pub dead_member_retention: Micros,
 }
 
 impl Default for MemberConfig {
     fn default() -> Self {
         MemberConfig {
             heartbeat_interval: Micros::from_secs(1),
-            // Heartbeats to all contacts every second cost a watcher 7.2 KB/s, of 4 KB/s for all
-            // control work.
+            // With heartbeats to all contacts every second, a watcher sends 7.2 KB/s; the limit for
+            // all control traffic of a node is 4 KB/s.
             distant_rounds: 3,
             missed_limit: 3,
-            suspicion: Micros::from_secs(1),
-            forget_after: Micros::from_secs(3_600),
+            suspicion_timeout: Micros::from_secs(1),
+            dead_member_retention: Micros::from_secs(3_600),
         }
     }
 }
 
-/// What happened.
+/// Input of a [`MemberTable`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberEvent {
     HeartbeatArrived(Heartbeat),
@@ -157,7 +158,8 @@
     PeerFound(Heartbeat),
     /// A whole member table was pulled.
     TableArrived(Vec<MemberInfo>),
-    /// The platform's list, which lags: a row adds a member that is not known and never kills one.
+    /// The platform's list, which may be out of date: a row can add an unknown member, and no row or
+    /// missing row declares one dead.
     VmListArrived(Vec<PlatformVm>),
     /// This node now holds a revision of a document.
     DocumentHeld {
@@ -169,7 +171,7 @@
     Timer,
 }
 
-/// What the table asks for.
+/// Action that the driver executes for the table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     SendHeartbeat {
@@ -186,27 +188,27 @@
     },
     /// The set of members that may own something changed.
     OwnersChanged,
-    /// A member died or came back with a new incarnation: what it held here must be released.
+    /// A member died or restarted: what it held on this node must be released.
     MemberLost(Name),
 }
 
-/// What the table keeps of another member.
+/// Entry of another member.
 #[derive(Debug)]
 struct MemberEntry {
     info: MemberInfo,
-    /// Kept apart from the state, which a suspicion replaces.
+    /// Kept separately, because a suspicion replaces the state.
     leaving: bool,
     /// When the member was suspected or died.
     since: Micros,
 }
 
 impl MemberEntry {
-    fn dead(&self) -> bool {
+    fn is_dead(&self) -> bool {
         self.info.state == MemberState::Dead
     }
 
     /// Returns the state without a suspicion.
-    fn settled_state(&self) -> MemberState {
+    fn state_without_suspicion(&self) -> MemberState {
         match (self.info.state, self.leaving) {
             (MemberState::Dead, _) => MemberState::Dead,
             (_, true) => MemberState::Leaving,
@@ -214,9 +216,9 @@
         }
     }
 
-    /// Returns the entry for members that are no observers, which suspicions do not concern.
-    fn settled(&self) -> MemberInfo {
-        MemberInfo { state: self.settled_state(), ..self.info.clone() }
+    /// Returns the entry without a suspicion, for members that are not observers.
+    fn info_without_suspicion(&self) -> MemberInfo {
+        MemberInfo { state: self.state_without_suspicion(), ..self.info.clone() }
     }
 }
 
@@ -243,15 +245,15 @@
 pub struct MemberTable {
     config: MemberConfig,
     own: MemberInfo,
-    /// This process leaves by itself, not only by the platform's list.
-    own_leave: bool,
+    /// This process itself is shutting down; the platform's list alone does not set this.
+    leave_requested: bool,
     entries: BTreeMap<Name, MemberEntry>,
-    /// VMs of the platform's list that have not answered yet, with attempts made.
+    /// VMs of the platform's list that have not answered yet, with the number of attempts.
     listed: BTreeMap<Name, (MemberInfo, u32)>,
     /// Names that the last list showed as leaving.
     listed_leaving: FastSet<Name>,
     /// Version of the reachability of each other data centre; odd if unreachable.
-    reach: FastMap<Name, u64>,
+    reachability: FastMap<Name, u64>,
     contacts: ContactTable,
     changes: ChangeQueue,
     revisions: RevisionTable,
@@ -259,8 +261,8 @@
     layout_stale: bool,
     next_round: Micros,
     rounds: u64,
-    /// Sender of the last heartbeat if it has to refute what this table says of it.
-    contradicted: Option<Name>,
+    /// Sender of the last heartbeat if it has to refute its entry in this table.
+    must_refute: Option<Name>,
     changed_at: Micros,
     pull_after: Micros,
     pull_interval: Micros,
@@ -270,20 +272,20 @@
     /// Creates a table with only this node. `own.incarnation` is the start time of the process in any
     /// unit, the same on all nodes.
     pub fn new(config: MemberConfig, mut own: MemberInfo) -> Self {
-        // Nanoseconds since 1970 do not leave 12 bits; their own low bits serve as well.
+        // Nanoseconds since 1970 leave no 12 bits free, so their own low bits count refutations.
         own.incarnation = match own.incarnation.leading_zeros() >= REFUTATION_BITS {
             true => own.incarnation << REFUTATION_BITS,
             false => own.incarnation >> REFUTATION_BITS << REFUTATION_BITS,
         };
-        let own_leave = own.state == MemberState::Leaving;
+        let leave_requested = own.state == MemberState::Leaving;
         let mut table = MemberTable {
             config,
             own,
-            own_leave,
+            leave_requested,
             entries: BTreeMap::new(),
             listed: BTreeMap::new(),
             listed_leaving: FastSet::default(),
-            reach: FastMap::default(),
+            reachability: FastMap::default(),
             contacts: ContactTable::default(),
             changes: ChangeQueue::default(),
             revisions: RevisionTable::default(),
@@ -291,12 +293,12 @@
             layout_stale: true,
             next_round: Micros::ZERO,
             rounds: 0,
-            contradicted: None,
+            must_refute: None,
             changed_at: Micros::ZERO,
             pull_after: Micros::ZERO,
             pull_interval: MIN_PULL_INTERVAL,
         };
-        table.refresh();
+        table.refresh_layout();
         table
     }
 
@@ -304,20 +306,24 @@
     pub fn handle(&mut self, now: Micros, event: MemberEvent, actions: &mut Vec<MemberAction>) {
         let owners = self.layout.owner_digest;
         match event {
-            MemberEvent::HeartbeatArrived(heartbeat) => self.arrived(now, &heartbeat, actions),
-            MemberEvent::HeartbeatAnswered(heartbeat) => self.answered(now, &heartbeat, actions),
-            // The heartbeat stays unanswered, so the second sending and the count of misses follow.
+            MemberEvent::HeartbeatArrived(heartbeat) => {
+                self.handle_heartbeat(now, &heartbeat, actions)
+            }
+            MemberEvent::HeartbeatAnswered(heartbeat) => {
+                self.handle_answer(now, &heartbeat, actions)
+            }
+            // The heartbeat stays unanswered, so it is sent again and counted as a miss by the timers.
             MemberEvent::HeartbeatFailed { .. } => {}
-            MemberEvent::PeerFound(heartbeat) => self.answered(now, &heartbeat, actions),
-            MemberEvent::TableArrived(members) => self.table_arrived(now, members, actions),
-            MemberEvent::VmListArrived(vms) => self.vm_list_arrived(now, vms, actions),
+            MemberEvent::PeerFound(heartbeat) => self.handle_answer(now, &heartbeat, actions),
+            MemberEvent::TableArrived(members) => self.handle_table(now, members, actions),
+            MemberEvent::VmListArrived(vms) => self.handle_vm_list(now, vms, actions),
             MemberEvent::DocumentHeld { document, revision } => {
-                if self.revisions.hold(&document, revision) {
+                if self.revisions.record_held(&document, revision) {
                     self.changes.request(now);
                 }
             }
             MemberEvent::Leave => {
-                self.own_leave = true;
+                self.leave_requested = true;
                 if self.own.state != MemberState::Leaving {
                     self.own.state = MemberState::Leaving;
                     self.announce_self(now);
@@ -326,16 +332,17 @@
             MemberEvent::Timer => {}
         }
         self.run_timers(now, actions);
-        self.refresh();
+        self.refresh_layout();
         if self.layout.owner_digest != owners {
             actions.push(MemberAction::OwnersChanged);
         }
     }
 
-    /// Returns the heartbeat to answer with. After [`MemberEvent::HeartbeatArrived`] it also tells
-    /// the sender what it has to refute, so it is asked for right after that event.
+    /// Returns the heartbeat to answer with. Must be called right after
+    /// [`MemberEvent::HeartbeatArrived`], because it then also carries an entry that the sender has to
+    /// refute.
     pub fn heartbeat(&self) -> Heartbeat {
-        let first = self.contradicted.as_ref().and_then(|name| self.entries.get(name));
+        let first = self.must_refute.as_ref().and_then(|name| self.entries.get(name));
         self.heartbeat_with(first.map(|entry| entry.info.clone()), self.changes.newest(), true)
     }
 
@@ -371,9 +378,9 @@
     }
 
     /// Tells whether the members of a data centre may own something here. False while no watcher of
-    /// it answers this data centre's watcher.
+    /// it answers the watcher of this data centre.
     pub fn reachable(&self, data_centre: &str) -> bool {
-        self.reach.get(data_centre).is_none_or(|version| version.is_multiple_of(2))
+        self.reachability.get(data_centre).is_none_or(|version| version.is_multiple_of(2))
     }
 
     /// Returns the digest of the live members; equal on all nodes whose tables agree.
@@ -385,7 +392,7 @@
         self.layout.watchers_of(&self.own.data_centre).first() == Some(&self.own.name)
     }
 
-    fn refresh(&mut self) {
+    fn refresh_layout(&mut self) {
         if !self.layout_stale {
             return;
         }
@@ -397,7 +404,7 @@
             leaving: self.own.state == MemberState::Leaving,
             reachable: true,
         };
-        let live = self.entries.values().filter(|entry| !entry.dead());
+        let live = self.entries.values().filter(|entry| !entry.is_dead());
         let others = live.map(|entry| LayoutMember {
             name: &entry.info.name,
             data_centre: &entry.info.data_centre,
@@ -414,25 +421,25 @@
         &self,
         first: Option<MemberInfo>,
         names: impl Iterator<Item = &'a Name>,
-        with_reach: bool,
+        with_reachability: bool,
     ) -> Heartbeat {
         let mut changes: Vec<MemberInfo> = first.into_iter().collect();
         for name in names {
-            if changes.len() < CHANGE_LIMIT && !changes.iter().any(|other| other.name == *name) {
-                changes.extend(self.entries.get(name).map(MemberEntry::settled));
+            if changes.len() < MAX_CHANGES && !changes.iter().any(|other| other.name == *name) {
+                changes.extend(self.entries.get(name).map(MemberEntry::info_without_suspicion));
             }
         }
         let mut revisions = self.revisions.list();
-        if with_reach {
+        if with_reachability {
             let own = &self.own.data_centre;
-            for (other, version) in &self.reach {
+            for (other, version) in &self.reachability {
                 revisions.push((format!("{REACH_PREFIX}{own}/{other}").into(), *version));
             }
         }
         Heartbeat { from: self.own.clone(), digest: self.layout.digest, revisions, changes }
     }
 
-    /// Sends a heartbeat to a member. What the member has to refute comes first.
+    /// Sends a heartbeat to a member. An entry that the member has to refute comes first.
     fn send<'a>(
         &mut self,
         to: &Name,
@@ -440,13 +447,13 @@
         actions: &mut Vec<MemberAction>,
     ) {
         let Some(entry) = self.entries.get(to) else { return };
-        let first = entry.dead().then(|| entry.info.clone());
-        let same_place = entry.info.data_centre == self.own.data_centre;
-        let heartbeat = self.heartbeat_with(first, names, same_place);
+        let first = entry.is_dead().then(|| entry.info.clone());
+        let same_data_centre = entry.info.data_centre == self.own.data_centre;
+        let heartbeat = self.heartbeat_with(first, names, same_data_centre);
         actions.push(MemberAction::SendHeartbeat { to: entry.info.clone(), heartbeat });
     }
 
-    /// Asks for a round of heartbeats that carry this node's own entry.
+    /// Requests a round of heartbeats, which carry this node's own entry.
     fn announce_self(&mut self, now: Micros) {
         self.layout_stale = true;
         self.changed_at = now;
--- a/crates/member/src/table/detect.rs
+++ b/crates/member/src/table/detect.rs
@@ -1,29 +1,29 @@
-//! Rounds of heartbeats, suspicion and death of members, reachability of data centres.
+//! Heartbeat rounds and failure detection of members and data centres.
 
 use model::{Micros, Name};
 
 use super::{
-    CONTACT_MEMORY, DEAD_PROBE_ROUNDS, LISTED_ASKED, LISTED_ATTEMPTS, MemberAction, MemberInfo,
-    MemberState, MemberTable, WATCHER_SUCCESSORS,
+    CONTACT_RETENTION, DEAD_PROBE_ROUNDS, LISTED_PER_ROUND, MAX_LISTED_ATTEMPTS, MemberAction,
+    MemberInfo, MemberState, MemberTable, WATCHER_SUCCESSORS,
 };
 use crate::hash::{mix, text_hash};
 
 impl MemberTable {
-    /// Does everything that is due.
+    /// Runs all timers that are due.
     pub(super) fn run_timers(&mut self, now: Micros, actions: &mut Vec<MemberAction>) {
-        self.refresh();
+        self.refresh_layout();
         for name in self.contacts.take_failed_probes(now) {
             self.declare_dead(now, &name, actions);
         }
         for name in self.contacts.take_resends(now) {
             self.send(&name, std::iter::empty(), actions);
         }
-        self.refresh();
+        self.refresh_layout();
         if now >= self.next_round {
             self.run_round(now, actions);
         }
         if self.changes.due().is_some_and(|due| due <= now) {
-            self.refresh();
+            self.refresh_layout();
             let round = self.changes.take_round(now);
             for target in self.regular_targets() {
                 self.send(&target, round.iter(), actions);
@@ -58,8 +58,8 @@
     fn run_round(&mut self, now: Micros, actions: &mut Vec<MemberAction>) {
         self.rounds += 1;
         self.next_round = now + self.config.heartbeat_interval;
-        self.forget(now);
-        self.refresh();
+        self.forget_dead_members(now);
+        self.refresh_layout();
         let repeats = self.changes.take_repeats();
         let targets = self.regular_targets();
         let near = self.layout.successors_of(&self.own.name);
@@ -80,52 +80,52 @@
             self.suspect(now, &name, actions);
         }
         if self.is_watcher() {
-            self.check_reach(now, actions);
+            self.check_reachability(now, actions);
         }
-        self.ask_dead_member(actions);
-        self.ask_listed_vms(actions);
+        self.probe_dead_member(actions);
+        self.contact_listed_vms(actions);
         self.contacts.retain(|name, state| {
-            let recent = |at: Micros| now.saturating_sub(at) <= CONTACT_MEMORY;
+            let recent = |at: Micros| now.saturating_sub(at) <= CONTACT_RETENTION;
             targets.contains(name)
-                || state.probe_until.is_some()
+                || state.probe_deadline.is_some()
                 || recent(state.sent_at)
                 || state.answered_at.is_some_and(recent)
-                || state.heard_at.is_some_and(recent)
+                || state.last_heartbeat_at.is_some_and(recent)
         });
     }
 
     /// Tells whether a regular heartbeat is not needed in this round. A distant contact gets one every
     /// few rounds as long as it answers, and one in every round from the first miss on.
-    fn may_skip(&self, target: &Name, near: &[Name], no_news: bool) -> bool {
+    fn may_skip(&self, target: &Name, near: &[Name], no_repeats: bool) -> bool {
         let turn = self.rounds.wrapping_add(text_hash(target));
-        no_news
+        no_repeats
             && !near.contains(target)
             && !turn.is_multiple_of(self.config.distant_rounds.max(1))
-            && self.contacts.is_settled(target)
+            && self.contacts.answered_last(target)
     }
 
     /// Drops members that died long ago.
-    fn forget(&mut self, now: Micros) {
-        let limit = self.config.forget_after;
+    fn forget_dead_members(&mut self, now: Micros) {
+        let limit = self.config.dead_member_retention;
         let before = self.entries.len();
-        self.entries.retain(|_, entry| !entry.dead() || now.saturating_sub(entry.since) < limit);
+        self.entries.retain(|_, entry| !entry.is_dead() || now.saturating_sub(entry.since) < limit);
         self.layout_stale |= self.entries.len() != before;
     }
 
-    /// A node that no longer observes a member does not suspect it either.
+    /// Clears suspicions of members that this node no longer observes.
     fn clear_stale_suspicions(&mut self, targets: &[Name]) {
         for (name, entry) in &mut self.entries {
             if entry.info.state == MemberState::Suspected && !targets.contains(name) {
-                entry.info.state = entry.settled_state();
+                entry.info.state = entry.state_without_suspicion();
             }
         }
     }
 
-    /// Suspects a silent contact and asks others for their view. Members of other data centres are
-    /// never suspected from here: their own data centre decides, see the module's documentation.
+    /// Suspects a silent contact and asks other nodes for confirmation. Members of other data centres are
+    /// never suspected here, because their own data centre decides; see the module documentation.
     fn suspect(&mut self, now: Micros, name: &Name, actions: &mut Vec<MemberAction>) {
         let Some(entry) = self.entries.get_mut(name) else { return };
-        if entry.dead() || entry.info.data_centre != self.own.data_centre {
+        if entry.is_dead() || entry.info.data_centre != self.own.data_centre {
             return;
         }
         if entry.info.state != MemberState::Suspected {
@@ -135,7 +135,7 @@
         let since = entry.since;
         let suspicion = entry.info.clone();
         let confirmers = self.confirmers(name);
-        if confirmers.is_empty() && now.saturating_sub(since) >= self.config.suspicion {
+        if confirmers.is_empty() && now.saturating_sub(since) >= self.config.suspicion_timeout {
             self.declare_dead(now, name, actions);
             return;
         }
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Returns who is asked about a suspected member: its other observers, and one more node that
+    /// Returns the nodes to ask about a suspected member: its other observers, and one more node that
     /// changes every round, in case the observers are dead too.
     fn confirmers(&self, name: &Name) -> Vec<Name> {
         let mut names = self.layout.observers_of(name);
@@ -157,14 +157,14 @@
                 && !names.contains(&info.name)
         };
         let mut others: Vec<&Name> = Vec::new();
-        for own_place in [true, false] {
-            if !others.is_empty() || (!own_place && !names.is_empty()) {
+        for own_data_centre in [true, false] {
+            if !others.is_empty() || (!own_data_centre && !names.is_empty()) {
                 break;
             }
             let entries = self.entries.values().map(|entry| &entry.info);
             let entries = entries.filter(|info| {
                 usable(info)
-                    && (info.data_centre == self.own.data_centre) == own_place
+                    && (info.data_centre == self.own.data_centre) == own_data_centre
                     && self.reachable(&info.data_centre)
             });
             others.extend(entries.map(|info| &info.name));
@@ -176,8 +176,8 @@
         names
     }
 
-    /// Another node suspects a member and asks this one.
-    pub(super) fn suspicion_arrived(
+    /// Handles a suspicion that another node reported.
+    pub(super) fn handle_suspicion(
         &mut self,
         now: Micros,
         info: &MemberInfo,
@@ -186,7 +186,7 @@
         let name = &info.name;
         let Some(entry) = self.entries.get(name) else { return };
         let interval = self.config.heartbeat_interval;
-        if entry.dead()
+        if entry.is_dead()
             || entry.info.incarnation > info.incarnation
             || self.contacts.answered_within(name, now, interval + Micros(interval.0 / 2))
         {
@@ -197,17 +197,17 @@
             return;
         }
         let state = self.contacts.entry(name);
-        if state.probe_until.is_none() {
-            state.probe_until = Some(now + self.config.suspicion);
-            state.awaiting = Some(now);
+        if state.probe_deadline.is_none() {
+            state.probe_deadline = Some(now + self.config.suspicion_timeout);
+            state.unanswered_since = Some(now);
             state.sent_at = now;
             state.resent = false;
             self.send(name, std::iter::empty(), actions);
         }
     }
 
-    /// Decides which data centres the watchers of this one reach.
-    fn check_reach(&mut self, now: Micros, actions: &mut Vec<MemberAction>) {
+    /// As the watcher, decides which data centres are reachable from this one.
+    fn check_reachability(&mut self, now: Micros, actions: &mut Vec<MemberAction>) {
         let others: Vec<Name> = self
             .layout
             .data_centres()
@@ -225,15 +225,15 @@
                     .iter()
                     .all(|name| self.contacts.missed(name) >= self.config.missed_limit);
             if (reachable && silent) || (!reachable && answered) {
-                let version = self.reach.get(&other).copied().unwrap_or_default();
-                self.merge_reach(now, &other, version + 1, actions);
+                let version = self.reachability.get(&other).copied().unwrap_or_default();
+                self.merge_reachability(now, &other, version + 1, actions);
             }
         }
     }
 
-    /// Asks one dead member of the own data centre now and then, so that both sides of a partition
-    /// inside a data centre find each other again.
-    fn ask_dead_member(&mut self, actions: &mut Vec<MemberAction>) {
+    /// Sends a heartbeat to one dead member of the own data centre every few rounds, so that the sides of
+    /// a partition inside a data centre find each other again.
+    fn probe_dead_member(&mut self, actions: &mut Vec<MemberAction>) {
         let own = text_hash(&self.own.name);
         if !self.rounds.wrapping_add(own).is_multiple_of(DEAD_PROBE_ROUNDS) {
             return;
@@ -241,7 +241,7 @@
         let dead: Vec<Name> = self
             .entries
             .values()
-            .filter(|entry| entry.dead() && entry.info.data_centre == self.own.data_centre)
+            .filter(|entry| entry.is_dead() && entry.info.data_centre == self.own.data_centre)
             .map(|entry| entry.info.name.clone())
             .collect();
         if !dead.is_empty() {
@@ -250,14 +250,14 @@
         }
     }
 
-    /// Asks VMs of the platform's list that are not members yet.
-    fn ask_listed_vms(&mut self, actions: &mut Vec<MemberAction>) {
+    /// Sends heartbeats to VMs of the platform's list that are not members yet.
+    fn contact_listed_vms(&mut self, actions: &mut Vec<MemberAction>) {
         let heartbeat = self.heartbeat_with(None, std::iter::empty(), false);
-        for (info, attempts) in self.listed.values_mut().take(LISTED_ASKED) {
+        for (info, attempts) in self.listed.values_mut().take(LISTED_PER_ROUND) {
             *attempts += 1;
             let (to, heartbeat) = (info.clone(), heartbeat.clone());
             actions.push(MemberAction::SendHeartbeat { to, heartbeat });
         }
-        self.listed.retain(|_, (_, attempts)| *attempts < LISTED_ATTEMPTS);
+        self.listed.retain(|_, (_, attempts)| *attempts < MAX_LISTED_ATTEMPTS);
     }
 }
--- a/crates/member/src/table/merge.rs
+++ b/crates/member/src/table/merge.rs
@@ -1,46 +1,47 @@
-//! Merges what other nodes and the platform say into the table.
+//! Merges entries from other nodes and the platform's list into the table.
 
 use model::{Micros, Name};
 
 use super::{
-    DIFFERENCE_BEFORE_PULL, Heartbeat, JOINING_MEMBERS, JOINING_PULL_INTERVAL, LONG_DIFFERENCE,
-    MAX_PULL_INTERVAL, MEMBER_LIMIT, MIN_PULL_INTERVAL, MemberAction, MemberEntry, MemberInfo,
-    MemberState, MemberTable, PlatformVm, QUIET_BEFORE_PULL, REACH_PREFIX, REFUTATION_BITS,
+    Heartbeat, JOINING_MEMBER_LIMIT, JOINING_PULL_INTERVAL, MAX_MEMBERS, MAX_PULL_INTERVAL,
+    MIN_PULL_INTERVAL, MemberAction, MemberEntry, MemberInfo, MemberState, MemberTable,
+    PULL_DIFFERENCE_TIME, PULL_LONG_DIFFERENCE_TIME, PULL_QUIET_TIME, PlatformVm, REACH_PREFIX,
+    REFUTATION_BITS,
 };
 
-/// Where an entry comes from.
+/// Source of an entry.
 #[derive(Clone, Copy, PartialEq)]
 enum EntrySource {
     /// The member itself.
     Member,
-    /// Changes in the heartbeat of another member.
-    Hearsay,
-    /// A pulled table of a node that is itself joining: its entries are known to the others.
+    /// Another node or the platform's list.
+    OtherNode,
+    /// A table pulled while this node is joining; other nodes already know its entries.
     JoiningPull,
 }
 
 impl MemberTable {
-    pub(super) fn arrived(
+    pub(super) fn handle_heartbeat(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) {
-        self.contradicted = None;
+        self.must_refute = None;
         let from = &heartbeat.from;
         if from.name == self.own.name {
             return;
         }
-        self.contacts.entry(&from.name).heard_at = Some(now);
+        self.contacts.entry(&from.name).last_heartbeat_at = Some(now);
         self.merge_heartbeat(now, heartbeat, actions);
         let contradicts =
-            |entry: &MemberEntry| entry.dead() || entry.info.incarnation > from.incarnation;
+            |entry: &MemberEntry| entry.is_dead() || entry.info.incarnation > from.incarnation;
         if self.entries.get(&from.name).is_some_and(contradicts) {
-            self.contradicted = Some(from.name.clone());
+            self.must_refute = Some(from.name.clone());
         }
     }
 
-    pub(super) fn answered(
+    pub(super) fn handle_answer(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
@@ -56,10 +57,10 @@
         if let Some(entry) = self.entries.get_mut(&from.name)
             && entry.info.state == MemberState::Suspected
         {
-            entry.info.state = entry.settled_state();
+            entry.info.state = entry.state_without_suspicion();
         }
         self.merge_heartbeat(now, heartbeat, actions);
-        if unknown && self.entries.len() < JOINING_MEMBERS && now >= self.pull_after {
+        if unknown && self.entries.len() < JOINING_MEMBER_LIMIT && now >= self.pull_after {
             self.pull_after = now + JOINING_PULL_INTERVAL;
             actions.push(MemberAction::PullTable { from: from.clone() });
         }
@@ -75,9 +76,9 @@
         self.merge_entry(now, from, EntrySource::Member, actions);
         for info in &heartbeat.changes {
             if info.state == MemberState::Suspected {
-                self.suspicion_arrived(now, info, actions);
+                self.handle_suspicion(now, info, actions);
             } else {
-                self.merge_entry(now, info, EntrySource::Hearsay, actions);
+                self.merge_entry(now, info, EntrySource::OtherNode, actions);
             }
         }
         for (document, revision) in &heartbeat.revisions {
@@ -87,9 +88,9 @@
                     && let Some((place, other)) = places.split_once('/')
                     && place == own.as_str()
                 {
-                    self.merge_reach(now, &other.into(), *revision, actions);
+                    self.merge_reachability(now, &other.into(), *revision, actions);
                 }
-            } else if self.revisions.wants(now, document, *revision) {
+            } else if self.revisions.should_pull(now, document, *revision) {
                 let document = document.clone();
                 actions.push(MemberAction::PullDocument { from: from.clone(), document });
             }
@@ -97,15 +98,15 @@
         self.compare_digest(now, heartbeat, actions);
     }
 
-    pub(super) fn table_arrived(
+    pub(super) fn handle_table(
         &mut self,
         now: Micros,
         members: Vec<MemberInfo>,
         actions: &mut Vec<MemberAction>,
     ) {
         let joining =
-            self.entries.len() < JOINING_MEMBERS && self.entries.len() < members.len() / 2;
-        let source = if joining { EntrySource::JoiningPull } else { EntrySource::Hearsay };
+            self.entries.len() < JOINING_MEMBER_LIMIT && self.entries.len() < members.len() / 2;
+        let source = if joining { EntrySource::JoiningPull } else { EntrySource::OtherNode };
         for mut info in members {
             if info.state == MemberState::Suspected {
                 info.state = MemberState::Alive;
@@ -117,7 +118,7 @@
         }
     }
 
-    pub(super) fn vm_list_arrived(
+    pub(super) fn handle_vm_list(
         &mut self,
         now: Micros,
         vms: Vec<PlatformVm>,
@@ -134,27 +135,31 @@
                 let mut info = self.own.clone();
                 if vm.leaving {
                     info.state = MemberState::Leaving;
-                    self.hear_of_self(now, &info);
-                } else if returns && !self.own_leave {
+                    self.merge_own_entry(now, &info);
+                } else if returns && !self.leave_requested {
                     self.own.state = MemberState::Alive;
                     self.own.incarnation += 1;
                     self.announce_self(now);
                 }
                 continue;
             }
-            match self.entries.get(&vm.name).map(|entry| (entry.dead(), entry.settled())) {
+            match self
+                .entries
+                .get(&vm.name)
+                .map(|entry| (entry.is_dead(), entry.info_without_suspicion()))
+            {
                 Some((true, _)) => {}
                 Some((false, mut info)) => {
                     if vm.leaving {
                         info.state = MemberState::Leaving;
                     } else if returns && info.state == MemberState::Leaving {
-                        // Maintenance ended. A process that leaves by itself says so again.
+                        // Maintenance ended. A process that is shutting down announces that again.
                         info.state = MemberState::Alive;
                         info.incarnation += 1;
                     }
-                    self.merge_entry(now, &info, EntrySource::Hearsay, actions);
+                    self.merge_entry(now, &info, EntrySource::OtherNode, actions);
                 }
-                None if !vm.leaving && self.listed.len() < MEMBER_LIMIT => {
+                None if !vm.leaving && self.listed.len() < MAX_MEMBERS => {
                     let info = MemberInfo {
                         name: vm.name.clone(),
                         data_centre: vm.data_centre,
@@ -179,14 +184,14 @@
         actions: &mut Vec<MemberAction>,
     ) {
         if info.name == self.own.name {
-            self.hear_of_self(now, info);
+            self.merge_own_entry(now, info);
             return;
         }
         let dead = info.state == MemberState::Dead;
         let Some(entry) = self.entries.get_mut(&info.name) else {
-            // A death of an unknown member is no news; taking it would also bring back members that
-            // were forgotten here and not yet elsewhere.
-            if !dead && self.entries.len() < MEMBER_LIMIT {
+            // The death of an unknown member is ignored; an entry for it would also bring back members that
+            // were forgotten here but not yet elsewhere.
+            if !dead && self.entries.len() < MAX_MEMBERS {
                 let leaving = info.state == MemberState::Leaving;
                 let entry = MemberEntry { info: info.clone(), leaving, since: now };
                 self.entries.insert(info.name.clone(), entry);
@@ -197,7 +202,8 @@
         };
         let held = &entry.info;
         let newer = info.incarnation > held.incarnation
-            || (info.incarnation == held.incarnation && info.state > entry.settled_state());
+            || (info.incarnation == held.incarnation
+                && info.state > entry.state_without_suspicion());
         if !newer {
             return;
         }
@@ -206,7 +212,7 @@
             && info.incarnation == held.incarnation
             && self.contacts.answered_within(&info.name, now, heard)
         {
-            // The member answered here since; it refutes the death when it hears of it.
+            // The member answered this node recently; it refutes the death when it learns of it.
             let info = info.clone();
             let to = held.clone();
             let heartbeat = self.heartbeat_with(Some(info), std::iter::empty(), false);
@@ -214,11 +220,11 @@
             return;
         }
         let restarted = info.process() != held.process();
-        if !entry.dead() && (dead || restarted) {
+        if !entry.is_dead() && (dead || restarted) {
             actions.push(MemberAction::MemberLost(info.name.clone()));
         }
         if dead || info.incarnation > held.incarnation {
-            // Misses of before would confirm the next suspicion at once.
+            // Earlier misses would confirm the next suspicion at once.
             self.contacts.remove(&info.name);
         }
         entry.leaving = info.state == MemberState::Leaving;
@@ -233,12 +239,14 @@
         name: &Name,
         actions: &mut Vec<MemberAction>,
     ) {
-        let Some(entry) = self.entries.get_mut(name).filter(|entry| !entry.dead()) else { return };
+        let Some(entry) = self.entries.get_mut(name).filter(|entry| !entry.is_dead()) else {
+            return;
+        };
         entry.info.state = MemberState::Dead;
         entry.since = now;
         actions.push(MemberAction::MemberLost(name.clone()));
         self.contacts.remove(name);
-        self.entry_changed(now, name, EntrySource::Hearsay);
+        self.entry_changed(now, name, EntrySource::OtherNode);
     }
 
     fn entry_changed(&mut self, now: Micros, name: &Name, source: EntrySource) {
@@ -249,9 +257,9 @@
         }
     }
 
-    /// Handles what others say of this node. Only this node raises its own incarnation, except after
-    /// a maintenance that the platform's list ended.
-    fn hear_of_self(&mut self, now: Micros, info: &MemberInfo) {
+    /// Merges an entry for this node. Only this node raises its own incarnation, except when the
+    /// platform's list ends a maintenance.
+    fn merge_own_entry(&mut self, now: Micros, info: &MemberInfo) {
         let held = (self.own.incarnation, self.own.state);
         if (info.incarnation, info.state) <= held || info.state == MemberState::Suspected {
             return;
@@ -259,7 +267,7 @@
         if info.process() > self.own.process() {
             // An earlier process of the same name whose clock was ahead.
             self.own.incarnation = (info.process() + 1) << REFUTATION_BITS;
-        } else if info.state == MemberState::Dead || self.own_leave {
+        } else if info.state == MemberState::Dead || self.leave_requested {
             self.own.incarnation = info.incarnation + 1;
         } else {
             self.own.incarnation = info.incarnation;
@@ -268,7 +276,7 @@
         self.announce_self(now);
     }
 
-    pub(super) fn merge_reach(
+    pub(super) fn merge_reachability(
         &mut self,
         now: Micros,
         other: &Name,
@@ -280,7 +288,7 @@
         {
             return;
         }
-        let held = self.reach.entry(other.clone()).or_default();
+        let held = self.reachability.entry(other.clone()).or_default();
         if version <= *held {
             return;
         }
@@ -290,21 +298,21 @@
         self.changes.request(now);
         if lost {
             for entry in self.entries.values() {
-                if entry.info.data_centre == *other && !entry.dead() {
+                if entry.info.data_centre == *other && !entry.is_dead() {
                     actions.push(MemberAction::MemberLost(entry.info.name.clone()));
                 }
             }
         }
     }
 
-    /// Pulls the table of a node whose digest stays different while nothing changes here.
+    /// Pulls the table of a node whose digest keeps differing while this table does not change.
     fn compare_digest(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) {
-        self.refresh();
+        self.refresh_layout();
         let contact = self.contacts.entry(&heartbeat.from.name);
         if heartbeat.digest == self.layout.digest {
             contact.differs_since = None;
@@ -313,8 +321,9 @@
         }
         let since = *contact.differs_since.get_or_insert(now);
         let differs = now.saturating_sub(since);
-        let quiet = now.saturating_sub(self.changed_at) >= QUIET_BEFORE_PULL;
-        let due = (quiet && differs >= DIFFERENCE_BEFORE_PULL) || differs >= LONG_DIFFERENCE;
+        let quiet = now.saturating_sub(self.changed_at) >= PULL_QUIET_TIME;
+        let due =
+            (quiet && differs >= PULL_DIFFERENCE_TIME) || differs >= PULL_LONG_DIFFERENCE_TIME;
         if due && now >= self.pull_after {
             self.pull_after = now + self.pull_interval;
             let doubled = self.pull_interval + self.pull_interval;
--- a/crates/member/tests/fleet.rs
+++ b/crates/member/tests/fleet.rs
@@ -1,7 +1,7 @@
-//! Whole fleets in virtual time, with delay and loss between nodes.
+//! Simulates whole fleets in virtual time, with delay and loss between nodes.
 //!
-//! Guards against members whose death or arrival stays unknown, owners that differ, documents that do
-//! not arrive, and control traffic that grows with the fleet.
+//! Guards against members whose death or arrival stays unknown, owners that differ between nodes,
+//! documents that do not arrive, and control traffic per node that grows with the fleet.
 #![allow(clippy::unwrap_used)]
 
 use std::cmp::Reverse;
@@ -19,7 +19,7 @@
 enum Message {
     Request(Heartbeat),
     Answer(Heartbeat),
-    /// Answer to a node that knows only an address.
+    /// First heartbeat from a node that knows only the address.
     Hello(Heartbeat),
     Welcome(Heartbeat),
     PullTable(Name),
@@ -33,10 +33,10 @@
     info: MemberInfo,
     table: MemberTable,
     up: bool,
-    /// Neither handles nor loses anything until it continues.
+    /// Messages are kept until the node resumes.
     paused: bool,
-    held_back: Vec<Message>,
-    side: usize,
+    undelivered: Vec<Message>,
+    partition: usize,
     document: u64,
     document_at: Micros,
     timer_at: Option<Micros>,
@@ -45,7 +45,7 @@
     lost_members: Vec<Name>,
 }
 
-struct Fleet {
+struct FleetModel {
     now: Micros,
     nodes: Vec<FleetNode>,
     queue: BinaryHeap<Reverse<(Micros, u64, usize, usize)>>,
@@ -53,7 +53,7 @@
     sequence: u64,
     random: u64,
     loss_percent: u64,
-    partitioned: bool,
+    is_partitioned: bool,
     false_deaths: u64,
 }
 
@@ -94,14 +94,14 @@
     }
 }
 
-impl Fleet {
+impl FleetModel {
     /// Starts nodes that all know each other.
     fn start(count: usize, data_centres: usize) -> Self {
-        let mut fleet = Fleet::empty();
+        let mut fleet = FleetModel::empty();
         for index in 0..count {
             fleet.add(node_info(index, data_centres));
         }
-        // A joined node's table has the incarnation in its final form.
+        // The table of a joined node holds the incarnation with its refutation bits.
         let members: Vec<MemberInfo> =
             fleet.nodes.iter().map(|node| node.table.members()[0].clone()).collect();
         for index in 0..count {
@@ -114,7 +114,7 @@
     }
 
     fn empty() -> Self {
-        Fleet {
+        FleetModel {
             now: Micros::ZERO,
             nodes: Vec::new(),
             queue: BinaryHeap::new(),
@@ -122,7 +122,7 @@
             sequence: 0,
             random: 0x1234_5678,
             loss_percent: 0,
-            partitioned: false,
+            is_partitioned: false,
             false_deaths: 0,
         }
     }
@@ -133,8 +133,8 @@
             info,
             up: true,
             paused: false,
-            held_back: Vec::new(),
-            side: 0,
+            undelivered: Vec::new(),
+            partition: 0,
             document: 0,
             document_at: Micros::ZERO,
             timer_at: None,
@@ -156,7 +156,7 @@
         index
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
+    fn random_below(&mut self, below: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
@@ -178,14 +178,18 @@
         let node = &mut self.nodes[from];
         node.bytes_sent += bytes;
         node.messages_sent += 1;
-        if self.draw(100) < self.loss_percent {
+        if self.random_below(100) < self.loss_percent {
             return;
         }
-        if self.partitioned && self.nodes[from].side != self.nodes[to].side {
+        if self.is_partitioned && self.nodes[from].partition != self.nodes[to].partition {
             return;
         }
-        let near = self.nodes[from].info.data_centre == self.nodes[to].info.data_centre;
-        let delay = if near { 300 + self.draw(700) } else { 15_000 + self.draw(10_000) };
+        let same_data_centre = self.nodes[from].info.data_centre == self.nodes[to].info.data_centre;
+        let delay = if same_data_centre {
+            300 + self.random_below(700)
+        } else {
+            15_000 + self.random_below(10_000)
+        };
         self.schedule(self.now + Micros(delay), to, message);
     }
 
@@ -236,7 +240,7 @@
             return;
         }
         if node.paused {
-            node.held_back.push(message);
+            node.undelivered.push(message);
             return;
         }
         match message {
@@ -270,11 +274,11 @@
                     self.send(to, from, Message::Document(document, revision));
                 }
             }
-            Message::Document(document, revision) => self.hold(to, document, revision),
+            Message::Document(document, revision) => self.hold_document(to, document, revision),
         }
     }
 
-    fn hold(&mut self, index: usize, document: Name, revision: u64) {
+    fn hold_document(&mut self, index: usize, document: Name, revision: u64) {
         if revision > self.nodes[index].document {
             self.nodes[index].document = revision;
             self.nodes[index].document_at = self.now;
@@ -284,7 +288,7 @@
 
     fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
-        for message in std::mem::take(&mut self.nodes[index].held_back) {
+        for message in std::mem::take(&mut self.nodes[index].undelivered) {
             self.deliver(index, message);
         }
         self.handle(index, MemberEvent::Timer);
@@ -331,14 +335,14 @@
         self.nodes[index].info.name.clone()
     }
 
-    /// Asserts that live nodes agree, and returns the owners of some databases.
+    /// Asserts that the nodes agree on the owners of 50 databases, and returns them.
     fn agreed_owners(&self, nodes: &[usize]) -> Vec<Name> {
         let mut owners: Vec<Name> = Vec::new();
         for database in 0..50 {
-            let (key, place) = (format!("db-{database}"), format!("dc-{}", database % 3));
-            let owner = self.nodes[nodes[0]].table.owner_of(&key, &place);
+            let (key, data_centre) = (format!("db-{database}"), format!("dc-{}", database % 3));
+            let owner = self.nodes[nodes[0]].table.owner_of(&key, &data_centre);
             for node in nodes {
-                assert_eq!(self.nodes[*node].table.owner_of(&key, &place), owner, "{key}");
+                assert_eq!(self.nodes[*node].table.owner_of(&key, &data_centre), owner, "{key}");
             }
             owners.push(owner);
         }
@@ -358,9 +362,9 @@
     }
 }
 
-/// One fleet's worth of deaths, joins and documents without loss.
-fn changes_spread(count: usize, data_centres: usize) {
-    let mut fleet = Fleet::start(count, data_centres);
+/// Checks without loss that deaths, a join and a document become known to all nodes.
+fn check_dissemination(count: usize, data_centres: usize) {
+    let mut fleet = FleetModel::start(count, data_centres);
     assert_eq!(fleet.false_deaths, 0);
     fleet.agreed_owners(&fleet.live());
 
@@ -368,7 +372,8 @@
     let other = (0..count).find(|at| fleet.nodes[*at].info.name != watcher).unwrap();
     for victim in [fleet.index_of(&watcher).unwrap(), other] {
         let name = fleet.kill(victim);
-        let took = fleet.run_until_all(Micros::from_secs(6), |node| Fleet::dead_at(node, &name));
+        let took =
+            fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::dead_at(node, &name));
         println!("{count} nodes: death of {name} known by all after {took}");
         fleet.agreed_owners(&fleet.live());
         fleet.run_for(Micros::from_secs(10));
@@ -377,7 +382,7 @@
     let name = info.name.clone();
     let seeds = [fleet.live()[0], fleet.live()[1]];
     fleet.join(info, seeds);
-    let took = fleet.run_until_all(Micros::from_secs(6), |node| Fleet::alive_at(node, &name));
+    let took = fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::alive_at(node, &name));
     println!("{count} nodes: join of {name} known by all after {took}");
     let live = fleet.live().len();
     fleet.run_until_all(Micros::from_secs(6), |node| {
@@ -387,33 +392,33 @@
     fleet.agreed_owners(&fleet.live());
 
     let source = fleet.live()[1];
-    fleet.hold(source, DOCUMENT.into(), 7);
+    fleet.hold_document(source, DOCUMENT.into(), 7);
     let took = fleet.run_until_all(Micros::from_secs(2), |node| node.document == 7);
     println!("{count} nodes: document known by all after {took}");
 }
 
 #[test]
-fn changes_spread_among_9_nodes() {
-    changes_spread(9, 4);
+fn changes_reach_9_nodes() {
+    check_dissemination(9, 4);
 }
 
 #[test]
-fn changes_spread_among_94_nodes() {
-    changes_spread(94, 4);
+fn changes_reach_94_nodes() {
+    check_dissemination(94, 4);
 }
 
 #[test]
-fn changes_spread_among_660_nodes() {
-    changes_spread(660, 7);
+fn changes_reach_660_nodes() {
+    check_dissemination(660, 7);
 }
 
-/// Runs a fleet with documents and changes and returns the most bytes and messages of one node per
-/// second.
+/// Runs a fleet with documents and changes and returns the highest numbers of bytes and messages that a
+/// node sent per second.
 fn traffic(count: usize, data_centres: usize) -> (u64, u64) {
     const SECONDS: u64 = 60;
-    let mut fleet = Fleet::start(count, data_centres);
-    fleet.hold(1, DOCUMENT.into(), 1);
-    fleet.hold(1, "cicadawick/token-keys".into(), 1);
+    let mut fleet = FleetModel::start(count, data_centres);
+    fleet.hold_document(1, DOCUMENT.into(), 1);
+    fleet.hold_document(1, "cicadawick/token-keys".into(), 1);
     fleet.run_for(Micros::from_secs(5));
     for node in &mut fleet.nodes {
         (node.bytes_sent, node.messages_sent) = (0, 0);
@@ -422,7 +427,7 @@
     fleet.kill(3);
     fleet.run_for(Micros::from_secs(20));
     fleet.join(node_info(count, data_centres), [0, 1]);
-    fleet.hold(1, DOCUMENT.into(), 2);
+    fleet.hold_document(1, DOCUMENT.into(), 2);
     fleet.run_for(Micros::from_secs(SECONDS - 20));
     let bytes = fleet.nodes.iter().map(|node| node.bytes_sent / SECONDS).max().unwrap();
     let messages = fleet.nodes.iter().map(|node| node.messages_sent / SECONDS).max().unwrap();
@@ -445,15 +450,15 @@
     }
 }
 
-/// With loss, documents arrive by the heartbeats that follow.
+/// Guards against documents that never arrive after a lost message: later heartbeats repeat them.
 #[test]
-fn documents_spread_with_loss() {
+fn documents_arrive_despite_loss() {
     for (count, data_centres) in [(9, 4), (94, 4), (660, 7)] {
-        let mut fleet = Fleet::start(count, data_centres);
+        let mut fleet = FleetModel::start(count, data_centres);
         fleet.loss_percent = 20;
         for revision in 1..=3 {
             let source = (revision as usize * 31) % count;
-            fleet.hold(source, DOCUMENT.into(), revision);
+            fleet.hold_document(source, DOCUMENT.into(), revision);
             let took = fleet.run_until_all(Micros::from_secs(17), |node| node.document == revision);
             println!("{count} nodes, 20% loss: document known by all after {took}");
         }
@@ -467,62 +472,67 @@
     }
 }
 
-/// With loss, deaths are found late rather than not at all.
+/// Guards against deaths that stay undetected, or false ones, when messages are lost.
 #[test]
-fn deaths_are_known_with_loss() {
-    let mut fleet = Fleet::start(94, 4);
+fn deaths_are_detected_despite_loss() {
+    let mut fleet = FleetModel::start(94, 4);
     fleet.loss_percent = 5;
     for victim in [5, 40, 77] {
         let name = fleet.kill(victim);
-        let took = fleet.run_until_all(Micros::from_secs(12), |node| Fleet::dead_at(node, &name));
+        let took =
+            fleet.run_until_all(Micros::from_secs(12), |node| FleetModel::dead_at(node, &name));
         println!("94 nodes, 5% loss: death known by all after {took}");
     }
     assert_eq!(fleet.false_deaths, 0);
 }
 
-/// Guards against two owners on one side, and against tables that stay apart after the heal.
+/// Guards against two owners on one side, and against tables that stay different after the partition
+/// heals.
 #[test]
-fn partitioned_data_centres_elect_and_merge() {
+fn partitioned_data_centres_choose_owners_and_merge() {
     for (count, data_centres) in [(9, 4), (94, 4), (660, 7)] {
-        let mut fleet = Fleet::start(count, data_centres);
+        let mut fleet = FleetModel::start(count, data_centres);
         let before = fleet.agreed_owners(&fleet.live());
         for (index, node) in fleet.nodes.iter_mut().enumerate() {
-            node.side = usize::from(index % data_centres == 0);
+            node.partition = usize::from(index % data_centres == 0);
         }
-        let sides: Vec<Vec<usize>> = (0..2)
-            .map(|side| (0..count).filter(|at| fleet.nodes[*at].side == side).collect())
+        let partitions: Vec<Vec<usize>> = (0..2)
+            .map(|partition| {
+                (0..count).filter(|at| fleet.nodes[*at].partition == partition).collect()
+            })
             .collect();
-        fleet.partitioned = true;
-        let all_own = |fleet: &Fleet| {
-            sides.iter().all(|side| {
-                side.iter().all(|at| {
+        fleet.is_partitioned = true;
+        let all_owned_locally = |fleet: &FleetModel| {
+            partitions.iter().all(|partition| {
+                partition.iter().all(|at| {
                     (0..50).all(|database| {
-                        let place = format!("dc-{}", database % 3);
-                        let owner =
-                            fleet.nodes[*at].table.owner_of(&format!("db-{database}"), &place);
-                        side.contains(&fleet.index_of(&owner).unwrap())
+                        let data_centre = format!("dc-{}", database % 3);
+                        let owner = fleet.nodes[*at]
+                            .table
+                            .owner_of(&format!("db-{database}"), &data_centre);
+                        partition.contains(&fleet.index_of(&owner).unwrap())
                     })
                 })
             })
         };
         let start = fleet.now;
-        while !all_own(&fleet) {
+        while !all_owned_locally(&fleet) {
             assert!(fleet.now - start < Micros::from_secs(8), "no owners of the own side");
             fleet.run_for(Micros::from_millis(100));
         }
         println!("{count} nodes: owners of the own side {} after a partition", fleet.now - start);
         fleet.run_for(Micros::from_secs(10));
-        for side in &sides {
-            fleet.agreed_owners(side);
+        for partition in &partitions {
+            fleet.agreed_owners(partition);
         }
         // Changes on both sides while they are apart.
-        let dead = fleet.kill(sides[0][1]);
-        let source = sides[1][0];
-        fleet.hold(source, DOCUMENT.into(), 9);
+        let dead = fleet.kill(partitions[0][1]);
+        let source = partitions[1][0];
+        fleet.hold_document(source, DOCUMENT.into(), 9);
         fleet.run_for(Micros::from_secs(60));
-        fleet.partitioned = false;
+        fleet.is_partitioned = false;
         let took = fleet.run_until_all(Micros::from_secs(17), |node| {
-            Fleet::dead_at(node, &dead)
+            FleetModel::dead_at(node, &dead)
                 && node.document == 9
                 && (0..data_centres).all(|at| node.table.reachable(&format!("dc-{at}")))
         });
@@ -535,20 +545,20 @@
     }
 }
 
-/// Guards against halves of one data centre that do not find each other again.
+/// Guards against halves of one data centre that do not merge after a partition.
 #[test]
 fn partition_inside_a_data_centre_heals() {
-    let mut fleet = Fleet::start(40, 1);
+    let mut fleet = FleetModel::start(40, 1);
     for (index, node) in fleet.nodes.iter_mut().enumerate() {
-        node.side = index % 2;
+        node.partition = index % 2;
     }
-    fleet.partitioned = true;
+    fleet.is_partitioned = true;
     fleet.run_for(Micros::from_secs(60));
     let one: Vec<usize> = (0..40).filter(|at| at % 2 == 0).collect();
     for owner in fleet.agreed_owners(&one) {
         assert!(one.contains(&fleet.index_of(&owner).unwrap()));
     }
-    fleet.partitioned = false;
+    fleet.is_partitioned = false;
     let took = fleet.run_until_all(Micros::from_secs(60), |node| {
         node.table.members().iter().all(|info| info.state == MemberState::Alive)
     });
@@ -557,17 +567,17 @@
     fleet.agreed_owners(&fleet.live());
 }
 
-/// Guards against a paused process that stays dead for the others.
+/// Guards against a paused process that stays dead at the other nodes after it resumes.
 #[test]
 fn paused_process_refutes_its_death() {
-    let mut fleet = Fleet::start(20, 2);
+    let mut fleet = FleetModel::start(20, 2);
     let name = fleet.nodes[4].info.name.clone();
     let before = fleet.nodes[4].table.member(&name).unwrap().incarnation;
     fleet.nodes[4].paused = true;
     fleet.run_for(Micros::from_secs(20));
-    assert!((0..20).filter(|at| *at != 4).all(|at| Fleet::dead_at(&fleet.nodes[at], &name)));
+    assert!((0..20).filter(|at| *at != 4).all(|at| FleetModel::dead_at(&fleet.nodes[at], &name)));
     fleet.resume(4);
-    let took = fleet.run_until_all(Micros::from_secs(6), |node| Fleet::alive_at(node, &name));
+    let took = fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::alive_at(node, &name));
     println!("20 nodes: paused process alive for all {took} after it continued");
     let after = fleet.nodes[0].table.member(&name).unwrap();
     assert!(after.incarnation > before);
@@ -577,10 +587,10 @@
     assert!(fleet.nodes[4].lost_members.is_empty(), "{:?}", fleet.nodes[4].lost_members);
 }
 
-/// Guards against a restarted process whose predecessor's work is not released.
+/// Guards against a restart after which other nodes keep what the old process held.
 #[test]
-fn restarted_process_releases_its_predecessor() {
-    let mut fleet = Fleet::start(12, 2);
+fn restart_releases_what_the_old_process_held() {
+    let mut fleet = FleetModel::start(12, 2);
     let name = fleet.kill(3);
     fleet.run_for(Micros::from_millis(500));
     let mut info = node_info(3, 2);
@@ -589,7 +599,7 @@
     fleet.run_for(Micros::from_secs(10));
     for at in fleet.live() {
         let node = &fleet.nodes[at];
-        assert!(Fleet::alive_at(node, &name));
+        assert!(FleetModel::alive_at(node, &name));
         let lost = node.lost_members.iter().filter(|lost| **lost == name).count();
         assert_eq!(lost, usize::from(at != 12), "{}", node.info.name);
     }
@@ -599,14 +609,14 @@
     let mut info = node_info(5, 2);
     info.incarnation -= 5_000;
     fleet.join(info, [0, 1]);
-    let took = fleet.run_until_all(Micros::from_secs(6), |node| Fleet::alive_at(node, &name));
+    let took = fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::alive_at(node, &name));
     println!("12 nodes: process with an earlier clock alive for all after {took}");
 }
 
 /// Guards against leaving members that still own something.
 #[test]
 fn leaving_members_own_nothing() {
-    let mut fleet = Fleet::start(12, 2);
+    let mut fleet = FleetModel::start(12, 2);
     let owner = fleet.nodes[0].table.owner_of("db-1", "dc-1");
     let at = fleet.index_of(&owner).unwrap();
     fleet.handle(at, MemberEvent::Leave);
@@ -617,13 +627,13 @@
     println!("12 nodes: leaving known by all after {took}");
     fleet.agreed_owners(&fleet.live());
     fleet.kill(at);
-    fleet.run_until_all(Micros::from_secs(6), |node| Fleet::dead_at(node, &owner));
+    fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::dead_at(node, &owner));
 }
 
-/// Guards against a whole data centre or rack whose loss takes long.
+/// Guards against slow detection when a rack or a whole data centre fails.
 #[test]
-fn many_deaths_at_once() {
-    let mut fleet = Fleet::start(94, 4);
+fn simultaneous_deaths_are_detected() {
+    let mut fleet = FleetModel::start(94, 4);
     for at in 0..94 {
         if at % 9 == 0 {
             fleet.kill(at);
@@ -631,7 +641,7 @@
     }
     let dead: Vec<Name> = (0..94).step_by(9).map(|at| fleet.nodes[at].info.name.clone()).collect();
     let took = fleet.run_until_all(Micros::from_secs(9), |node| {
-        dead.iter().all(|name| Fleet::dead_at(node, name))
+        dead.iter().all(|name| FleetModel::dead_at(node, name))
     });
     println!("94 nodes: 11 deaths at once known by all after {took}");
     fleet.run_for(Micros::from_secs(10));
@@ -648,19 +658,20 @@
     }
 }
 
-/// A death among two nodes has nobody to confirm it.
+/// Guards against a death that stays undetected because no third node can confirm it.
 #[test]
-fn two_nodes_decide_alone() {
-    let mut fleet = Fleet::start(2, 1);
+fn two_nodes_detect_a_death_without_confirmation() {
+    let mut fleet = FleetModel::start(2, 1);
     let name = fleet.kill(1);
-    let took = fleet.run_until_all(Micros::from_secs(7), |node| Fleet::dead_at(node, &name));
+    let took = fleet.run_until_all(Micros::from_secs(7), |node| FleetModel::dead_at(node, &name));
     println!("2 nodes: death known after {took}");
 }
 
-/// The platform's list adds members and marks leaving ones, but kills none.
+/// Guards against an outdated platform list that declares members dead: it only adds members and marks
+/// leaving ones.
 #[test]
-fn platform_list_lags() {
-    let mut fleet = Fleet::start(6, 1);
+fn platform_list_adds_and_marks_members() {
+    let mut fleet = FleetModel::start(6, 1);
     let row = |index: usize, leaving: bool| {
         let info = node_info(index, 1);
         PlatformVm {
@@ -677,7 +688,7 @@
     let name = fleet.nodes[new].info.name.clone();
     let list = vec![row(0, false), row(1, true), row(6, false), row(99, false)];
     fleet.handle(0, MemberEvent::VmListArrived(list));
-    fleet.run_until_all(Micros::from_secs(6), |node| Fleet::alive_at(node, &name));
+    fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::alive_at(node, &name));
     fleet.run_for(Micros::from_secs(10));
     for node in &fleet.nodes {
         assert_eq!(node.table.members().len(), 7, "{}", node.info.name);
@@ -691,10 +702,10 @@
     });
 }
 
-/// A fleet that starts from nothing, each node with two peers in its settings.
+/// Guards against a cold start that does not converge; each node has two peers in its settings.
 #[test]
 fn cold_start_converges() {
-    let mut fleet = Fleet::empty();
+    let mut fleet = FleetModel::empty();
     for index in 0..94 {
         let seeds = [index.min(1), index.min(1) / 2];
         fleet.join(node_info(index, 4), seeds);
--- a/crates/member/tests/hash.rs
+++ b/crates/member/tests/hash.rs
@@ -1,4 +1,4 @@
-//! Guards against owners that differ between builds, lean to some nodes, or move without need.
+//! Guards against owners that differ between builds, are unevenly distributed, or move needlessly.
 #![allow(clippy::unwrap_used)]
 
 use member::{
@@ -111,9 +111,10 @@
 }
 
 proptest! {
-    /// Whatever arrives, the node stays in its own table, names an owner and bounds its messages.
+    /// Guards against events after which the node is missing in its own table, names no owner or sends too
+    /// many messages.
     #[test]
-    fn any_events_keep_the_table_sound(
+    fn any_events_keep_the_table_consistent(
         events in prop::collection::vec((0u64..2_000, any_event()), 1..60)
     ) {
         let mut table =
