--- a/crates/route/src/classify.rs
+++ b/crates/route/src/classify.rs
@@ -1,15 +1,15 @@
 //! Statement classes.
 //!
-//! The classifier reads tokens, not grammar: it has to be right about where comments, strings and
-//! identifiers end, and careful about everything else. What it cannot tell apart is a write, because a
-//! write that is served as a read breaks a guarantee and a read that is served as a write only costs
-//! a trip to the primary.
+//! The classifier reads tokens and does not parse the grammar: it must find the exact ends of comments,
+//! strings and identifiers, and is conservative about everything else. A statement that it is not sure
+//! about is a write, because a write served as a read breaks a guarantee, while a read served as a write
+//! only costs a round trip to the primary.
 
 use model::Name;
 
 use crate::token_stream::{Token, TokenStream};
 
-/// What the proxy has to know of a statement.
+/// Class of a statement, which decides how the proxy serves it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementClass {
     /// Changes nothing; may go to a replica.
@@ -25,7 +25,7 @@
     Session(SessionCommand),
     /// Empty query.
     Empty,
-    /// Not possible through a pool; the text says why.
+    /// Not supported through a pool, for this reason.
     Unsupported(&'static str),
 }
 
@@ -62,7 +62,7 @@
     "txid_current",
 ];
 
-/// Prefixes of families of such functions.
+/// Prefixes of the names of such functions.
 const WRITE_FUNCTION_PREFIXES: &[&str] = &[
     "dblink",
     "lo_",
@@ -77,9 +77,9 @@
     "pg_wal_replay_",
 ];
 
-/// Tokens for which a statement's list has room at first; growing from nothing costs several
-/// allocations for each statement.
-const COMMON_TOKENS: usize = 32;
+/// Initial capacity of a statement's token list; growing an empty list costs several allocations for
+/// each statement.
+const INITIAL_TOKEN_CAPACITY: usize = 32;
 
 /// Classifies the text of one simple query, which may hold several statements: the whole text is a
 /// read only if each part is. Also returns a request key given as a `/*request_key='K'*/` comment.
@@ -93,7 +93,7 @@
 /// ```
 pub fn classify(text: &str) -> (StatementClass, Option<Name>) {
     let mut stream = TokenStream::new(text);
-    let mut statements = vec![Vec::with_capacity(COMMON_TOKENS)];
+    let mut statements = vec![Vec::with_capacity(INITIAL_TOKEN_CAPACITY)];
     for token in stream.by_ref() {
         let in_atomic_body = statements.last().is_some_and(|statement| has_atomic_body(statement));
         match token {
@@ -107,16 +107,16 @@
     }
     let key = stream.comments().iter().find_map(|comment| request_key(comment));
     // An unterminated quote may hide the rest of the text; the primary reports the error.
-    let class = if stream.is_broken() {
+    let class = if stream.is_unreadable() {
         StatementClass::Write
     } else {
-        join(statements.iter().map(|statement| classify_one(statement)).collect())
+        combine_classes(statements.iter().map(|statement| classify_statement(statement)).collect())
     };
     (class, key)
 }
 
-/// Classifies a text of several statements.
-fn join(mut classes: Vec<StatementClass>) -> StatementClass {
+/// Combines the classes of the statements in one text.
+fn combine_classes(mut classes: Vec<StatementClass>) -> StatementClass {
     use StatementClass::{Begin, Commit, Empty, Read, Rollback, Session, Unsupported, Write};
     classes.retain(|class| *class != Empty);
     if classes.len() <= 1 {
@@ -143,16 +143,16 @@
     }
 }
 
-fn classify_one(tokens: &[Token<'_>]) -> StatementClass {
+fn classify_statement(tokens: &[Token<'_>]) -> StatementClass {
     use StatementClass::{Begin, Commit, Empty, Read, Rollback, Session, Unsupported, Write};
     let start = tokens.iter().take_while(|token| **token == Token::Symbol('(')).count();
     let Some(first) = tokens.get(start) else {
         return if start == 0 { Empty } else { Write };
     };
-    if let Some(reason) = reserved_name(tokens) {
+    if let Some(reason) = refused_name_reason(tokens) {
         return Unsupported(reason);
     }
-    let words = Words(&tokens[start..]);
+    let words = StatementWords(&tokens[start..]);
     let Token::Word(_) = first else {
         return Write;
     };
@@ -202,8 +202,8 @@
     }
 }
 
-/// Classifies a query that reads unless something in it changes data.
-fn classify_query(words: Words<'_, '_>) -> StatementClass {
+/// Classifies a query, which is a read unless a part of it changes data.
+fn classify_query(words: StatementWords<'_, '_>) -> StatementClass {
     let into_temporary = ["temp", "temporary"].iter().any(|temporary| {
         words.has_sequence(&["into", temporary])
             || words.has_sequence(&["into", "local", temporary])
@@ -220,11 +220,11 @@
     if changes || locks || calls { StatementClass::Write } else { StatementClass::Read }
 }
 
-fn classify_set(words: Words<'_, '_>) -> StatementClass {
+fn classify_set(words: StatementWords<'_, '_>) -> StatementClass {
     use StatementClass::{Read, Session, Unsupported};
     let reset = words.is_at(0, "reset");
-    let scoped = !reset && words.is_at(1, "session") && !words.is_at(2, "authorization");
-    let name_at = if scoped { 2 } else { 1 };
+    let has_session_scope = !reset && words.is_at(1, "session") && !words.is_at(2, "authorization");
+    let name_at = if has_session_scope { 2 } else { 1 };
     if let Some((parameter, rest)) = parameter_name(&words.0[name_at.min(words.0.len())..]) {
         if reset && rest.is_empty() {
             return Session(SessionCommand::Set { parameter, value: String::new() });
@@ -273,10 +273,11 @@
     }
 }
 
-/// Refuses names that would let a caller change the cluster's leadership or a pooled connection. A
-/// session-level lock would stay with a connection that other sessions use next.
-fn reserved_name(tokens: &[Token<'_>]) -> Option<&'static str> {
-    Words(tokens).names().find_map(|name| match name.as_str() {
+/// Returns why a statement is refused for the names in it: those that would let a client change the
+/// cluster's leadership or the state of a pooled connection. A session-level lock would stay with a
+/// connection that other sessions use next.
+fn refused_name_reason(tokens: &[Token<'_>]) -> Option<&'static str> {
+    StatementWords(tokens).names().find_map(|name| match name.as_str() {
         "cicadawick_fence" | "cicadawick_promote" | "cicadawick_follow" => {
             Some("only the proxy itself orders promotions")
         }
@@ -300,9 +301,11 @@
         || WRITE_FUNCTION_PREFIXES.iter().any(|prefix| name.starts_with(prefix))
 }
 
-/// A SQL function body in `BEGIN ATOMIC ... END` holds semicolons that end no statement.
+/// Tells whether the statement has a SQL function body, `BEGIN ATOMIC ... END`, in which semicolons do
+/// not end the statement.
 fn has_atomic_body(tokens: &[Token<'_>]) -> bool {
-    Words(tokens).is_at(0, "create") && Words(tokens).has_sequence(&["begin", "atomic"])
+    StatementWords(tokens).is_at(0, "create")
+        && StatementWords(tokens).has_sequence(&["begin", "atomic"])
 }
 
 fn request_key(comment: &str) -> Option<Name> {
@@ -316,11 +319,11 @@
     })
 }
 
-/// The words of one statement.
+/// Word lookups in the tokens of one statement.
 #[derive(Clone, Copy)]
-struct Words<'t, 's>(&'t [Token<'s>]);
+struct StatementWords<'t, 's>(&'t [Token<'s>]);
 
-impl Words<'_, '_> {
+impl StatementWords<'_, '_> {
     fn at(&self, index: usize) -> String {
         match self.0.get(index) {
             Some(Token::Word(word)) => word.to_ascii_lowercase(),
@@ -342,7 +345,7 @@
             .any(|window| window.iter().zip(words).all(|(token, word)| is_word(Some(token), word)))
     }
 
-    /// Words and quoted identifiers, in lower case.
+    /// StatementWords and quoted identifiers, in lower case.
     fn names(&self) -> impl Iterator<Item = String> {
         self.0.iter().filter_map(|token| match token {
             Token::Word(word) => Some(word.to_ascii_lowercase()),
@@ -353,11 +356,11 @@
 
     /// Tells whether a CREATE statement makes a temporary table, view or sequence.
     fn is_temporary(&self) -> bool {
-        let kind = self.0.iter().position(|token| {
+        let object = self.0.iter().position(|token| {
             ["table", "view", "sequence"].iter().any(|word| is_word(Some(token), word))
         });
-        let head = Words(&self.0[..kind.unwrap_or(0)]);
-        head.has("temp") || head.has("temporary")
+        let prefix = StatementWords(&self.0[..object.unwrap_or(0)]);
+        prefix.has("temp") || prefix.has("temporary")
     }
 }
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,5 +1,4 @@
-//! From a caller's request to a database: what the statement is, which selector decides, which state
-//! the session must see, and which database may serve it.
+//! Routing of requests: statement classes, selectors, session tokens and the choice of a database.
 
 mod classify;
 mod policy;
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -1,4 +1,4 @@
-//! Selectors in force and the choice of a database.
+//! Selectors of the configuration and the choice of a database.
 
 use model::{FleetConfig, LabelSelector, LabelSet, Micros, Name, Rank, SessionFloor};
 
@@ -9,7 +9,7 @@
     pub selector: Name,
     pub rank: Rank,
     pub max_age: Micros,
-    /// Time from arrival to the end of the answer.
+    /// Time from the arrival of the request to the end of the answer.
     pub deadline: Micros,
     pub durable: bool,
     pub servers: LabelSelector,
@@ -31,12 +31,12 @@
 /// Deadline of requests that no selector matches.
 const DEFAULT_DEADLINE: Micros = Micros::from_secs(10);
 
-/// Extra wait at a replica that is still preferred to the primary, which alone can serve writes.
-const PRIMARY_RELIEF: Micros = Micros::from_millis(50);
+/// Extra wait at a replica up to which it is preferred to the primary, which alone can serve writes.
+const MAX_REPLICA_EXTRA_WAIT: Micros = Micros::from_millis(50);
 
-/// Extra wait in the own data centre that is still preferred to the way to another one (0.5 ms and
-/// 1.4 ms one way at the two users).
-const DATA_CENTRE_WAY: Micros = Micros::from_millis(3);
+/// Extra wait in the own data centre up to which it is preferred to another one. The latency between
+/// data centres is 0.5 ms to 1.4 ms one way.
+const OTHER_DATA_CENTRE_PENALTY: Micros = Micros::from_millis(3);
 
 /// The selectors of one configuration revision.
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
 }
 
 impl SelectorTable {
-    /// Prepares the selectors of a configuration.
+    /// Builds the table from a configuration.
     pub fn compile(config: &FleetConfig) -> Self {
         let callers =
             config.callers.iter().map(|caller| (caller.matches.clone(), caller.labels.clone()));
@@ -89,7 +89,7 @@
                 labels.merge(attached);
             }
         }
-        // An attribute says who the caller is, so no attached label replaces it.
+        // Attributes identify the caller, so no attached label replaces one.
         labels.merge(attributes);
         labels
     }
@@ -101,14 +101,14 @@
     }
 }
 
-/// What the entry proxy last heard of a database.
+/// Unchecked status of a database, as last received by the proxy that routes the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DatabaseHint {
     pub database: Name,
     pub data_centre: Name,
     pub leader: bool,
     pub leaving: bool,
-    /// Data age that the owner could prove last; `None` if unknown.
+    /// Data age that the owner last proved; `None` if unknown.
     pub age: Option<Micros>,
     /// Expected wait for a slot.
     pub wait: Micros,
@@ -117,7 +117,7 @@
     pub labels: LabelSet,
 }
 
-/// Where a request goes and why, for `explain`.
+/// Chosen database, and the reason for `explain`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChoice {
     pub database: Name,
@@ -125,14 +125,15 @@
 }
 
 /// Chooses the database for a request. Writes go to the leader; reads prefer a replica in the own data
-/// centre that probably has the proof; `None` if no database is eligible.
+/// centre that can probably prove the accepted data age. Returns `None` if no database is eligible.
 ///
-/// A leader that is leaving still takes writes: nothing else can until another is promoted. The
-/// selector's `servers` bind replicas only, because the primary is where every other read ends.
+/// A leader that is leaving still receives writes, because no other database can serve them until one is
+/// promoted. The selector's `servers` apply only to replicas, because the primary serves all reads that
+/// no replica can.
 pub fn choose_database(
     policy: &WorkPolicy,
     read: bool,
-    floor: Option<SessionFloor>,
+    required: Option<SessionFloor>,
     own_data_centre: &Name,
     hints: &[DatabaseHint],
 ) -> Option<RouteChoice> {
@@ -142,16 +143,16 @@
     if !read {
         return leader.map(|hint| choice(hint, "writes go to the primary"));
     }
-    let distance = |hint: &DatabaseHint| match hint.data_centre == *own_data_centre {
+    let cost = |hint: &DatabaseHint| match hint.data_centre == *own_data_centre {
         true => hint.wait,
-        false => hint.wait + DATA_CENTRE_WAY,
+        false => hint.wait + OTHER_DATA_CENTRE_PENALTY,
     };
     let replica = hints
         .iter()
         .filter(|hint| replica_obstacle(policy, hint).is_none())
-        .min_by_key(|hint| (distance(hint), &hint.database));
+        .min_by_key(|hint| (cost(hint), &hint.database));
     match (replica, leader) {
-        (Some(replica), Some(leader)) if replica.wait > leader.wait + PRIMARY_RELIEF => {
+        (Some(replica), Some(leader)) if replica.wait > leader.wait + MAX_REPLICA_EXTRA_WAIT => {
             Some(choice(leader, "the primary has a shorter queue"))
         }
         (Some(replica), _) if replica.data_centre == *own_data_centre => {
@@ -159,18 +160,20 @@
         }
         (Some(replica), _) => Some(choice(replica, "replica in another data centre")),
         (None, Some(leader)) if policy.max_age == Micros::ZERO => {
-            let reason = match floor {
+            let reason = match required {
                 Some(_) => "the read follows a write and accepts no data age",
                 None => "the read accepts no data age",
             };
             Some(choice(leader, reason))
         }
-        (None, Some(leader)) => Some(choice(leader, "no replica probably has the proof")),
+        (None, Some(leader)) => {
+            Some(choice(leader, "no replica can probably prove the accepted data age"))
+        }
         (None, None) => None,
     }
 }
 
-/// Says why a database cannot serve a read as a replica; `None` if it can.
+/// Returns why a database cannot serve a read as a replica; `None` if it can.
 ///
 /// ```
 /// use model::{LabelSet, Micros};
--- a/crates/route/src/token.rs
+++ b/crates/route/src/token.rs
@@ -1,8 +1,8 @@
 //! Signed session tokens.
 //!
-//! A token is the URL-safe base64 text of: version byte, key id, count of floors, the floors (length
-//! and bytes of the cluster's name, term, position), and an HMAC-SHA256 over all of it. It does not
-//! expire: a floor that a cluster has long passed is met at once.
+//! A token is the URL-safe base64 text of: version byte, key id, number of required positions, the
+//! positions (length and bytes of the cluster's name, term, log position), and an HMAC-SHA256 over all of
+//! it. It does not expire: a position that a cluster has long passed is met at once.
 
 use std::collections::BTreeMap;
 
@@ -23,16 +23,17 @@
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct TokenKeys(pub Vec<TokenKey>);
 
-/// What a session carries between proxies: a floor for each cluster it wrote to.
+/// Required position of a session in each cluster that it wrote to; carried between proxies by the
+/// client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionToken {
     pub floors: BTreeMap<Name, SessionFloor>,
 }
 
-/// Why a token counts as absent.
+/// Why a token is treated as absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    #[error("token is not well formed")]
+    #[error("token is malformed")]
     Malformed,
     #[error("token is signed with an unknown key")]
     UnknownKey,
@@ -40,16 +41,16 @@
     BadSignature,
 }
 
-const VERSION: u8 = 1;
+const TOKEN_VERSION: u8 = 1;
 const HEADER_BYTES: usize = 6;
 const SIGNATURE_BYTES: usize = 32;
 
-/// Keeps tokens of other uses of the same keys apart.
-const DOMAIN: &[u8] = b"cicadawick session token";
+/// Separates the signatures of tokens from other uses of the same keys.
+const MAC_DOMAIN: &[u8] = b"cicadawick session token";
 
-/// A session is bound to one cluster, so a token holds more than one floor only if the caller carries
-/// it between clusters. 32 floors with names of 63 bytes stay below [`MAX_TOKEN_BYTES`].
-const MAX_FLOORS: usize = 32;
+/// A session belongs to one cluster, so a token holds more than one position only if the client reuses
+/// it for other clusters. 32 positions with names of 63 bytes stay below [`MAX_TOKEN_BYTES`].
+const MAX_POSITIONS: usize = 32;
 
 /// Longest accepted token, in characters.
 const MAX_TOKEN_BYTES: usize = 4_096;
@@ -58,8 +59,8 @@
 const MAX_NAME_BYTES: usize = 63;
 
 impl SessionToken {
-    /// Signs the token with the last key; `None` if there is no key. The token holds the floors of at
-    /// most 32 clusters with names of at most 63 bytes, the first by name.
+    /// Signs the token with the last key; `None` if there is no key. The token holds the positions in
+    /// at most 32 clusters with names of at most 63 bytes, the first by name.
     ///
     /// ```
     /// use route::{SessionToken, TokenKey, TokenKeys};
@@ -69,27 +70,27 @@
     /// ```
     pub fn sign(&self, keys: &TokenKeys) -> Option<String> {
         let key = keys.0.last()?;
-        let floors: Vec<_> = self
+        let positions: Vec<_> = self
             .floors
             .iter()
             .filter(|(name, _)| name.len() <= MAX_NAME_BYTES)
-            .take(MAX_FLOORS)
+            .take(MAX_POSITIONS)
             .collect();
-        let mut bytes = vec![VERSION];
+        let mut bytes = vec![TOKEN_VERSION];
         bytes.extend_from_slice(&key.id.to_be_bytes());
-        bytes.push(floors.len() as u8);
-        for (name, floor) in floors {
+        bytes.push(positions.len() as u8);
+        for (name, required) in positions {
             bytes.push(name.len() as u8);
             bytes.extend_from_slice(name.as_bytes());
-            bytes.extend_from_slice(&floor.term.0.to_be_bytes());
-            bytes.extend_from_slice(&floor.position.0.to_be_bytes());
+            bytes.extend_from_slice(&required.term.0.to_be_bytes());
+            bytes.extend_from_slice(&required.position.0.to_be_bytes());
         }
-        let signature = key.code(&bytes).finalize().into_bytes();
+        let signature = key.mac(&bytes).finalize().into_bytes();
         bytes.extend_from_slice(&signature);
         Some(URL_SAFE_NO_PAD.encode(bytes))
     }
 
-    /// Checks and reads a token. The comparison of signatures takes constant time.
+    /// Verifies and parses a token. The comparison of signatures takes constant time.
     ///
     /// # Errors
     ///
@@ -99,30 +100,30 @@
             return Err(TokenError::Malformed);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
-        if bytes.len() < HEADER_BYTES + SIGNATURE_BYTES || bytes[0] != VERSION {
+        if bytes.len() < HEADER_BYTES + SIGNATURE_BYTES || bytes[0] != TOKEN_VERSION {
             return Err(TokenError::Malformed);
         }
         let (body, signature) = bytes.split_at(bytes.len() - SIGNATURE_BYTES);
         let id = u32::from_be_bytes([body[1], body[2], body[3], body[4]]);
         let key = keys.0.iter().find(|key| key.id == id).ok_or(TokenError::UnknownKey)?;
-        key.code(body).verify_slice(signature).map_err(|_| TokenError::BadSignature)?;
-        read_floors(body[5], &body[HEADER_BYTES..]).ok_or(TokenError::Malformed)
+        key.mac(body).verify_slice(signature).map_err(|_| TokenError::BadSignature)?;
+        parse_positions(body[5], &body[HEADER_BYTES..]).ok_or(TokenError::Malformed)
     }
 }
 
 impl TokenKey {
-    fn code(&self, bytes: &[u8]) -> Hmac<Sha256> {
+    fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
         // HMAC pads keys below its block size of 64 bytes with zeros.
         let mut block = [0; 64];
         block[..self.secret.len()].copy_from_slice(&self.secret);
-        let mut code = Hmac::<Sha256>::new(&block.into());
-        code.update(DOMAIN);
-        code.update(bytes);
-        code
+        let mut mac = Hmac::<Sha256>::new(&block.into());
+        mac.update(MAC_DOMAIN);
+        mac.update(bytes);
+        mac
     }
 }
 
-fn read_floors(count: u8, mut bytes: &[u8]) -> Option<SessionToken> {
+fn parse_positions(count: u8, mut bytes: &[u8]) -> Option<SessionToken> {
     let mut token = SessionToken::default();
     for _ in 0..count {
         let (length, rest) = bytes.split_first()?;
@@ -130,11 +131,11 @@
         let (term, rest) = rest.split_first_chunk::<8>()?;
         let (position, rest) = rest.split_first_chunk::<8>()?;
         let name = std::str::from_utf8(name).ok()?;
-        let floor = SessionFloor {
+        let required = SessionFloor {
             term: Term(u64::from_be_bytes(*term)),
             position: LogPosition(u64::from_be_bytes(*position)),
         };
-        token.floors.insert(name.into(), floor);
+        token.floors.insert(name.into(), required);
         bytes = rest;
     }
     bytes.is_empty().then_some(token)
--- a/crates/route/src/token_stream.rs
+++ b/crates/route/src/token_stream.rs
@@ -1,4 +1,4 @@
-//! Splits a statement text into tokens as PostgreSQL does, with `standard_conforming_strings` on.
+//! Splits a statement text into tokens like PostgreSQL with `standard_conforming_strings` on.
 
 use std::borrow::Cow;
 
@@ -15,17 +15,17 @@
     Symbol(char),
 }
 
-/// Tokens of a text. Works on bytes: all delimiters are ASCII, so slices end at character bounds.
+/// Tokens of a text. Works on bytes: all delimiters are ASCII, so slices end at character boundaries.
 pub(crate) struct TokenStream<'s> {
     text: &'s str,
     at: usize,
     comments: Vec<&'s str>,
-    broken: bool,
+    unreadable: bool,
 }
 
 impl<'s> TokenStream<'s> {
     pub(crate) fn new(text: &'s str) -> Self {
-        TokenStream { text, at: 0, comments: Vec::new(), broken: false }
+        TokenStream { text, at: 0, comments: Vec::new(), unreadable: false }
     }
 
     /// Block comments passed so far, without their delimiters.
@@ -33,9 +33,9 @@
         &self.comments
     }
 
-    /// A quote or comment was not terminated.
-    pub(crate) fn is_broken(&self) -> bool {
-        self.broken
+    /// A quote or comment is unterminated, or an identifier uses Unicode escapes.
+    pub(crate) fn is_unreadable(&self) -> bool {
+        self.unreadable
     }
 
     fn rest(&self) -> &'s str {
@@ -46,7 +46,7 @@
         self.text.as_bytes().get(self.at + offset).copied()
     }
 
-    fn skip_blank(&mut self) {
+    fn skip_whitespace_and_comments(&mut self) {
         loop {
             let rest = self.rest();
             let trimmed = rest.trim_start_matches([' ', '\t', '\n', '\r', '\x0b', '\x0c']);
@@ -85,13 +85,13 @@
                 _ => at += 1,
             }
         }
-        self.broken = true;
+        self.unreadable = true;
         self.at = bytes.len();
     }
 
     /// Reads up to the closing `quote`, which is escaped by doubling it, and in `E''` strings also by
-    /// a backslash. The stream stands on the opening quote.
-    fn quoted(&mut self, quote: u8, backslash: bool) -> Cow<'s, str> {
+    /// a backslash. The current byte is the opening quote.
+    fn read_quoted(&mut self, quote: u8, backslash: bool) -> Cow<'s, str> {
         let bytes = self.text.as_bytes();
         let start = self.at + 1;
         let mut at = start;
@@ -114,13 +114,13 @@
                 };
             }
         }
-        self.broken = true;
+        self.unreadable = true;
         self.at = bytes.len();
         "".into()
     }
 
     /// Reads `$tag$...$tag$`; `None` if the dollar sign starts no string.
-    fn dollar_quoted(&mut self) -> Option<Token<'s>> {
+    fn read_dollar_quoted(&mut self) -> Option<Token<'s>> {
         let rest = self.rest();
         let close = rest[1..].find('$')? + 1;
         let tag = &rest[1..close];
@@ -136,14 +136,14 @@
                 Some(Token::Text(body[..end].to_string()))
             }
             None => {
-                self.broken = true;
+                self.unreadable = true;
                 self.at = self.text.len();
                 None
             }
         }
     }
 
-    fn word(&mut self) -> &'s str {
+    fn read_word(&mut self) -> &'s str {
         let rest = self.rest();
         let end = rest.bytes().position(|byte| !is_word_byte(byte)).unwrap_or(rest.len());
         self.at += end;
@@ -155,39 +155,39 @@
     type Item = Token<'s>;
 
     fn next(&mut self) -> Option<Token<'s>> {
-        self.skip_blank();
+        self.skip_whitespace_and_comments();
         let first = self.byte(0)?;
         match first {
-            b'\'' => Some(Token::Text(self.quoted(b'\'', false).into_owned())),
-            b'"' => Some(Token::Identifier(self.quoted(b'"', false))),
+            b'\'' => Some(Token::Text(self.read_quoted(b'\'', false).into_owned())),
+            b'"' => Some(Token::Identifier(self.read_quoted(b'"', false))),
             b'e' | b'E' if self.byte(1) == Some(b'\'') => {
                 self.at += 1;
-                Some(Token::Text(self.quoted(b'\'', true).into_owned()))
+                Some(Token::Text(self.read_quoted(b'\'', true).into_owned()))
             }
             b'b' | b'B' | b'x' | b'X' | b'n' | b'N' if self.byte(1) == Some(b'\'') => {
                 self.at += 1;
-                Some(Token::Text(self.quoted(b'\'', false).into_owned()))
+                Some(Token::Text(self.read_quoted(b'\'', false).into_owned()))
             }
-            // A name with Unicode escapes may spell any function, so the text is not understood.
+            // An identifier with Unicode escapes may name any function, so the text cannot be classified.
             b'u' | b'U' if self.byte(1) == Some(b'&') && self.byte(2) == Some(b'"') => {
                 self.at += 2;
-                self.quoted(b'"', false);
-                self.broken = true;
+                self.read_quoted(b'"', false);
+                self.unreadable = true;
                 Some(Token::Symbol('"'))
             }
             b'u' | b'U' if self.byte(1) == Some(b'&') && self.byte(2) == Some(b'\'') => {
                 self.at += 2;
-                Some(Token::Text(self.quoted(b'\'', false).into_owned()))
+                Some(Token::Text(self.read_quoted(b'\'', false).into_owned()))
             }
-            b'$' => self.dollar_quoted().or_else(|| {
-                if self.broken {
+            b'$' => self.read_dollar_quoted().or_else(|| {
+                if self.unreadable {
                     return None;
                 }
                 self.at += 1;
                 Some(Token::Symbol('$'))
             }),
-            b'0'..=b'9' => Some(Token::Number(self.word())),
-            byte if is_word_byte(byte) => Some(Token::Word(self.word())),
+            b'0'..=b'9' => Some(Token::Number(self.read_word())),
+            byte if is_word_byte(byte) => Some(Token::Word(self.read_word())),
             _ => {
                 let symbol = self.rest().chars().next()?;
                 self.at += symbol.len_utf8();
--- a/crates/route/tests/classify.rs
+++ b/crates/route/tests/classify.rs
@@ -1,5 +1,6 @@
-//! Classification of statements. A write taken for a read would be served by a replica or answered
-//! without evidence; session state in a pooled connection would leak to other callers.
+//! Classification of statements. Guards against writes classified as reads, which a replica would serve or
+//! which would be answered without proof, and against session state that leaks to other clients through a
+//! pooled connection.
 
 use std::fmt::Write as _;
 
@@ -138,7 +139,7 @@
         classify(&text);
     }
 
-    /// Delimiters in any order reach the ends of strings and comments from every state.
+    /// Delimiters in random order end strings and comments in every state of the tokenizer.
     #[test]
     fn delimiters_never_panic(parts in prop::collection::vec(
         prop::sample::select(vec!["'", "\"", "$", "$a$", "$$", "/*", "*/", "--", "\n", ";", "\\",
@@ -148,9 +149,9 @@
         classify(&parts.concat());
     }
 
-    /// Comments and white space must not hide what a statement does.
+    /// Guards against comments and white space that hide a write.
     #[test]
-    fn a_write_stays_a_write(blank in prop::sample::select(vec![" ", "\n", "/* x */", "--\n"])) {
+    fn comments_and_white_space_hide_no_write(blank in prop::sample::select(vec![" ", "\n", "/* x */", "--\n"])) {
         let text = format!("{blank}insert{blank}into{blank}t{blank}values{blank}(1){blank}");
         prop_assert_eq!(classify(&text).0, StatementClass::Write);
     }
--- a/crates/route/tests/policy.rs
+++ b/crates/route/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Choice of a database: a wrong choice costs a declined trip or loads the primary.
+//! Choice of a database. A wrong choice costs a declined request or needless load on the primary.
 
 use model::{LabelSet, Micros, Name};
 use route::{DatabaseHint, WorkPolicy, choose_database};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn reads_prefer_a_replica_that_can_serve_them() {
+fn reads_prefer_replicas_that_can_serve_them() {
     let aged = WorkPolicy { max_age: Micros::from_secs(2), ..WorkPolicy::default() };
     let mut hints = vec![hint("db1", "dc1"), hint("db2", "dc2"), hint("db3", "dc3")];
     assert_eq!(chosen(&aged, false, &hints).as_deref(), Some("db1"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn without_a_leader_writes_have_no_database() {
+fn requests_without_a_leader_have_no_database() {
     let hints = vec![hint("db2", "dc2")];
     assert_eq!(chosen(&WorkPolicy::default(), false, &hints), None);
     assert_eq!(chosen(&WorkPolicy::default(), true, &hints), None);
--- a/crates/route/tests/token.rs
+++ b/crates/route/tests/token.rs
@@ -1,4 +1,4 @@
-//! Session tokens: a caller must not be able to forge a floor or to crash the proxy with one.
+//! Session tokens. Guards against clients that forge a required position or crash the proxy with a token.
 
 use model::{LogPosition, SessionFloor, Term};
 use proptest::prelude::*;
@@ -10,12 +10,13 @@
 
 fn tokens() -> impl Strategy<Value = SessionToken> {
     prop::collection::btree_map("[a-z0-9-]{1,63}", (any::<u64>(), any::<u64>()), 0..32).prop_map(
-        |floors| SessionToken {
-            floors: floors
+        |positions| SessionToken {
+            floors: positions
                 .into_iter()
                 .map(|(name, (term, position))| {
-                    let floor = SessionFloor { term: Term(term), position: LogPosition(position) };
-                    (name.into(), floor)
+                    let required =
+                        SessionFloor { term: Term(term), position: LogPosition(position) };
+                    (name.into(), required)
                 })
                 .collect(),
         },
@@ -47,10 +48,10 @@
     }
 
     #[test]
-    fn a_cut_token_is_refused(token in tokens(), at: prop::sample::Index) {
+    fn a_truncated_token_is_refused(token in tokens(), at: prop::sample::Index) {
         let text = token.sign(&keys()).unwrap();
-        let cut = &text[..at.index(text.len())];
-        prop_assert!(SessionToken::verify(cut, &keys()).is_err());
+        let truncated = &text[..at.index(text.len())];
+        prop_assert!(SessionToken::verify(truncated, &keys()).is_err());
     }
 }
 
