--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -5,11 +5,11 @@
 /// One accepted revision of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Grows by one with every accepted change; 0 before the first.
+    /// Increases by one with every accepted change; 0 before the first.
     pub revision: u64,
     pub clusters: Vec<ClusterConfig>,
     pub callers: Vec<CallerLabels>,
-    /// In order; the first that matches decides.
+    /// In order; the first selector that matches applies.
     pub selectors: Vec<SelectorConfig>,
     pub ranks: RankMap<RankConfig>,
 }
@@ -32,7 +32,7 @@
 /// A replicated group of databases with one primary.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterConfig {
-    /// Also the database name that callers connect to.
+    /// Also the database name that clients connect to.
     pub name: Name,
     pub databases: Vec<DatabaseConfig>,
 }
@@ -45,11 +45,11 @@
     pub data_centre: Name,
     pub address: SocketAddress,
     pub labels: LabelSet,
-    /// Statements executing at once.
+    /// Most statements that execute at once.
     pub slots: u32,
-    /// Connections that the system may open, report connections included.
+    /// Most connections that the proxies may open, including report connections.
     pub connections: u32,
-    /// A leaving backend server gets no new work.
+    /// A leaving backend server receives no new requests.
     pub leaving: bool,
 }
 
@@ -61,7 +61,7 @@
     pub labels: LabelSet,
 }
 
-/// Says which work belongs together and how it is served.
+/// Selects requests by their labels and says how they are served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelectorConfig {
     pub name: Name,
@@ -70,19 +70,19 @@
     pub rank: Rank,
     /// Accepted data age; zero means that reads need the primary's current data.
     pub max_age: Micros,
-    /// Time from arrival to the end of the answer.
+    /// Time from the arrival of a request to the end of its answer.
     pub deadline: Micros,
-    /// Writes are acknowledged only when a majority has received them.
+    /// Writes are acknowledged only after a majority of databases received them.
     pub durable: bool,
     /// Backend servers whose labels match may serve reads.
     pub servers: LabelSelector,
 }
 
-/// Share of one rank.
+/// Share and queue limit of one rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RankConfig {
-    /// Share of slot time, in percent, that the rank keeps while it has work.
+    /// Minimum share of slot time, in percent, that the rank receives while it has requests.
     pub floor_percent: u32,
-    /// Requests that may wait for one database.
+    /// Most requests that may wait for one database.
     pub queue_limit: u32,
 }
--- a/crates/model/src/label.rs
+++ b/crates/model/src/label.rs
@@ -55,7 +55,7 @@
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             let (key, value) =
                 part.split_once('=').ok_or_else(|| LabelError::new(part, "expected key=value"))?;
-            labels.0.insert(parse_word(key)?, parse_word(value)?);
+            labels.0.insert(parse_key_or_value(key)?, parse_key_or_value(value)?);
         }
         Ok(labels)
     }
@@ -182,16 +182,18 @@
         return parse_list_rule(part, open);
     }
     if let Some((key, value)) = part.split_once("!=") {
-        let operator = MatchOperator::NotIn(vec![parse_word(value)?]);
-        return Ok(MatchRule { key: parse_word(key)?, operator });
+        let operator = MatchOperator::NotIn(vec![parse_key_or_value(value)?]);
+        return Ok(MatchRule { key: parse_key_or_value(key)?, operator });
     }
     if let Some((key, value)) = part.split_once('=') {
-        let operator = MatchOperator::In(vec![parse_word(value)?]);
-        return Ok(MatchRule { key: parse_word(key)?, operator });
+        let operator = MatchOperator::In(vec![parse_key_or_value(value)?]);
+        return Ok(MatchRule { key: parse_key_or_value(key)?, operator });
     }
     match part.strip_prefix('!') {
-        Some(key) => Ok(MatchRule { key: parse_word(key)?, operator: MatchOperator::Absent }),
-        None => Ok(MatchRule { key: parse_word(part)?, operator: MatchOperator::Exists }),
+        Some(key) => {
+            Ok(MatchRule { key: parse_key_or_value(key)?, operator: MatchOperator::Absent })
+        }
+        None => Ok(MatchRule { key: parse_key_or_value(part)?, operator: MatchOperator::Exists }),
     }
 }
 
@@ -199,7 +201,7 @@
     let list = part[open + 1..]
         .strip_suffix(')')
         .ok_or_else(|| LabelError::new(part, "expected ')' at the end of the list"))?;
-    let values = list.split(',').map(parse_word).collect::<Result<Vec<_>, _>>()?;
+    let values = list.split(',').map(parse_key_or_value).collect::<Result<Vec<_>, _>>()?;
     let (key, word) = part[..open]
         .trim()
         .rsplit_once(char::is_whitespace)
@@ -209,18 +211,18 @@
         "notin" => MatchOperator::NotIn(values),
         _ => return Err(LabelError::new(part, "expected 'in' or 'notin' before the list")),
     };
-    Ok(MatchRule { key: parse_word(key)?, operator })
+    Ok(MatchRule { key: parse_key_or_value(key)?, operator })
 }
 
 /// Accepts 1 to 63 letters, digits and `-_./:`.
-fn parse_word(text: &str) -> Result<Name, LabelError> {
-    const MAX_WORD_BYTES: usize = 63;
+fn parse_key_or_value(text: &str) -> Result<Name, LabelError> {
+    const MAX_BYTES: usize = 63;
     let word = text.trim();
     let valid = |character: char| character.is_ascii_alphanumeric() || "-_./:".contains(character);
     if word.is_empty() {
         return Err(LabelError::new(text, "expected a key or value"));
     }
-    if word.len() > MAX_WORD_BYTES {
+    if word.len() > MAX_BYTES {
         return Err(LabelError::new(word, "longer than 63 bytes"));
     }
     if !word.chars().all(valid) {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! The vocabulary that all other crates share.
+//! Types shared by all other crates.
 //!
-//! Names, labels and selectors say whose work something is; ranks, deadlines and ages say how it is
-//! served; terms and positions say what a database holds. Time is [`Micros`] on the node's own
+//! Names, labels and selectors identify who sends a request; ranks, deadlines and ages say how it is
+//! served; terms and log positions say what a database holds. Time is [`Micros`] on the node's own
 //! monotonic clock, so state machines run the same in a daemon and in virtual time.
 
 mod fleet;
--- a/crates/model/src/position.rs
+++ b/crates/model/src/position.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Number of a primary's time in office; grows with every promotion of a cluster.
+/// Number of a primary's time in office; increases with every promotion in a cluster.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -37,10 +37,8 @@
     }
 }
 
-/// Lowest state of a cluster that a session may read: the term and position of its last write, or a
-/// position sampled after the session arrived.
-///
-/// Ordered by term first.
+/// Position of a cluster's log that a session's reads require: that of its last write, or one sampled
+/// after the session arrived. Ordered by term first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// SplitMix64. Spreads retries in time and makes experiments repeatable; it is no source of secrets.
+/// SplitMix64 generator for jitter and reproducible tests. It must not be used for secrets.
 ///
 /// ```
 /// let (mut one, mut two) = (model::SeededRandom::new(7), model::SeededRandom::new(7));
@@ -32,12 +32,12 @@
         self.next_u64() % limit.max(1)
     }
 
-    /// Returns a number from 0 up to 1.
+    /// Returns a number from 0 up to but not including 1.
     pub fn unit(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Returns between half of `span` and the whole of it.
+    /// Returns a random span between half of `span` and the whole of it.
     pub fn jitter(&mut self, span: Micros) -> Micros {
         let half = span.0 / 2;
         Micros(half + self.below(span.0 - half + 1))
--- a/crates/model/src/rank.rs
+++ b/crates/model/src/rank.rs
@@ -1,11 +1,11 @@
-//! The three ranks of work.
+//! The three ranks of requests.
 
 use std::fmt;
 use std::ops::{Index, IndexMut};
 
 use serde::{Deserialize, Serialize};
 
-/// Rank of work, most urgent first.
+/// Rank of a request, most urgent first.
 ///
 /// ```
 /// use model::Rank;
--- a/crates/model/src/role.rs
+++ b/crates/model/src/role.rs
@@ -1,6 +1,6 @@
-//! The part that a database plays in its cluster.
+//! Role of a database in its cluster.
 
-/// Role that a database reports.
+/// Role of a database, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatabaseRole {
     Primary,
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -7,13 +7,13 @@
 /// IP address and port.
 pub type SocketAddress = SocketAddr;
 
-/// What a daemon learns from its settings file.
+/// Settings of a node, read by its daemon from the settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Unique in the fleet.
     pub name: Name,
     pub data_centre: Name,
-    /// Where callers connect with the PostgreSQL protocol.
+    /// Where clients connect with the PostgreSQL protocol.
     pub caller_address: SocketAddress,
     /// Where peers connect.
     pub peer_address: SocketAddress,
@@ -21,7 +21,7 @@
     pub admin_address: SocketAddress,
     /// Where the platform's key-value service listens.
     pub platform_address: SocketAddress,
-    /// Peers to ask first while the platform is away.
+    /// Peers to contact first while the platform is unavailable.
     pub peers: Vec<SocketAddress>,
     /// Where counters are sent in statsd format; none if absent.
     pub metrics_address: Option<SocketAddress>,
@@ -29,7 +29,7 @@
     pub database_user: Name,
     pub caller_limit: u32,
     pub request_limit_bytes: u32,
-    /// Time that a graceful shutdown waits for requests in flight.
+    /// Longest time that a graceful shutdown waits for requests in flight.
     pub drain_timeout: Micros,
     pub log_level: Name,
 }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -38,12 +38,12 @@
         self.0 / 1_000
     }
 
-    /// Subtracts, with zero as the lowest result.
+    /// Subtracts, saturating at zero.
     pub const fn saturating_sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
 
-    /// Adds, with [`Micros::MAX`] as the highest result.
+    /// Adds, saturating at [`Micros::MAX`].
     pub const fn saturating_add(self, other: Micros) -> Micros {
         Micros(self.0.saturating_add(other.0))
     }
--- a/crates/model/tests/label.rs
+++ b/crates/model/tests/label.rs
@@ -1,5 +1,5 @@
-//! Label selectors: a selector must mean the same after any rewriting of white space, and text from
-//! operators must never panic the parser.
+//! Label selectors. Guards against white space that changes the meaning of a selector, and against texts
+//! from operators that make the parser panic.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn each_operator_matches_its_labels_only() {
+fn operators_match_only_their_labels() {
     let vendor = LabelSet::from_pairs([("kind", "vendor"), ("town", "oshakati")]);
     let phone = LabelSet::from_pairs([("kind", "phone")]);
     let cases = [
@@ -62,13 +62,13 @@
     #[test]
     fn white_space_does_not_change_the_meaning(
         key in "[a-z]{1,8}", values in proptest::collection::vec("[a-z0-9]{1,8}", 1..4),
-        probe in "[a-z0-9]{1,8}", gap in "[ ]{0,3}",
+        label_value in "[a-z0-9]{1,8}", blanks in "[ ]{0,3}",
     ) {
-        let dense = format!("{key} in ({})", values.join(","));
-        let spaced = format!("{gap}{key} {gap}in{gap} ({gap}{}{gap}){gap}", values.join(&format!("{gap},{gap}")));
-        let labels = LabelSet::from_pairs([(key.as_str(), probe.as_str())]);
-        let expected = values.contains(&probe);
-        prop_assert_eq!(selector(&dense).matches(&labels), expected);
+        let compact = format!("{key} in ({})", values.join(","));
+        let spaced = format!("{blanks}{key} {blanks}in{blanks} ({blanks}{}{blanks}){blanks}", values.join(&format!("{blanks},{blanks}")));
+        let labels = LabelSet::from_pairs([(key.as_str(), label_value.as_str())]);
+        let expected = values.contains(&label_value);
+        prop_assert_eq!(selector(&compact).matches(&labels), expected);
         prop_assert_eq!(selector(&spaced).matches(&labels), expected);
     }
 }
