--- a/crates/stats/src/lib.rs
+++ b/crates/stats/src/lib.rs
@@ -1,9 +1,10 @@
-//! Bounded accounting: which caller is behind a burst, a stale read or a repeated request.
+//! Accounting of the callers that cause most requests, declined reads or repeated requests, in bounded
+//! memory.
 //!
-//! The table keeps a fixed number of callers with the space-saving method, so memory does not grow
-//! with callers; each count comes with the most it can be too high.
+//! The table keeps a fixed number of callers with the space-saving algorithm, so memory does not grow
+//! with the number of callers; each count has a bound on its error.
 //!
-//! # Method and error bound
+//! # Algorithm and error bound
 //!
 //! For each measure and window the table keeps `capacity` counters. A caller without one takes over the
 //! lowest counter, with its count m as the error. The counters of a window add up to its total N, so
@@ -14,8 +15,8 @@
 //! - a caller that is not listed has a true count of at most N / capacity, so a caller with more than
 //!   1 / capacity of the total is always listed.
 //!
-//! A report joins the current window of 5 minutes and the one before. A caller that only one of them
-//! lists gets the lowest count of the other as further count and error, so both statements hold with N
+//! A report combines the current window of 5 minutes and the one before. A caller that only one of them
+//! lists gets the lowest count of the other added to its count and error, so both statements hold with N
 //! as the total of both.
 
 use std::collections::BTreeSet;
@@ -31,11 +32,11 @@
     Requests,
     /// Slot time used, in microseconds.
     SlotTime,
-    /// Requests refused as "not run".
+    /// Requests refused without being run.
     Refused,
-    /// Reads that a replica declined for lack of an age or floor proof.
+    /// Reads that a replica declined without a proof of the data age or required position.
     ReplicaDeclined,
-    /// Repeats of a request key that was already recorded.
+    /// Requests whose request key was already recorded.
     RepeatedKeys,
     /// Answers with an unknown outcome.
     OutcomeUnknown,
@@ -44,13 +45,13 @@
 const MEASURE_COUNT: usize = 6;
 
 /// Length of a window.
-const WINDOW: Micros = Micros::from_secs(300);
+const WINDOW_LENGTH: Micros = Micros::from_secs(300);
 
 /// One row of a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerRow {
     pub caller: Name,
-    /// Rank of the caller's latest counted work.
+    /// Rank of the caller's latest counted request.
     pub rank: Rank,
     pub count: u64,
     /// The true count is at least `count - error`.
@@ -106,8 +107,8 @@
         self.order.insert((counter.count, index));
     }
 
-    /// Most that a caller without a counter can have.
-    fn unlisted(&self, capacity: usize) -> u64 {
+    /// Returns the highest count that a caller without a counter can have.
+    fn max_unlisted_count(&self, capacity: usize) -> u64 {
         match self.order.first() {
             Some((count, _)) if self.counters.len() >= capacity => *count,
             _ => 0,
@@ -123,7 +124,7 @@
     measures: [CounterSet; MEASURE_COUNT],
 }
 
-/// Counts per caller, bounded: two windows, each with `capacity` counters for each measure.
+/// Counts per caller: two windows, each with `capacity` counters for each measure.
 ///
 /// ```
 /// use model::{Micros, Name, Rank};
@@ -162,7 +163,7 @@
         measure: CallerMeasure,
         amount: u64,
     ) {
-        let number = now.0 / WINDOW.0;
+        let number = now.0 / WINDOW_LENGTH.0;
         if number > self.current.number {
             let fresh = CounterWindow { number, ..CounterWindow::default() };
             self.previous = std::mem::replace(&mut self.current, fresh);
@@ -174,40 +175,41 @@
 
     /// Returns the callers with the highest counts of the last 5 to 10 minutes.
     pub fn top(&self, now: Micros, measure: CallerMeasure, rows: usize) -> Vec<CallerRow> {
-        let number = now.0 / WINDOW.0;
+        let number = now.0 / WINDOW_LENGTH.0;
         let recent = |window: &&CounterWindow| window.number + 1 >= number;
         let sets: Vec<&CounterSet> = [&self.current, &self.previous]
             .into_iter()
             .filter(recent)
             .map(|window| &window.measures[measure as usize])
             .collect();
-        let unlisted: u64 = sets.iter().map(|set| set.unlisted(self.capacity)).sum();
-        let mut joined: FastMap<&Name, CallerRow> = FastMap::default();
+        let max_unlisted_count: u64 =
+            sets.iter().map(|set| set.max_unlisted_count(self.capacity)).sum();
+        let mut merged: FastMap<&Name, CallerRow> = FastMap::default();
         for set in &sets {
-            let own = set.unlisted(self.capacity);
+            let own = set.max_unlisted_count(self.capacity);
             for counter in &set.counters {
-                // Until the caller is found in a window, that window's lowest count stands for it.
-                let row = joined.entry(&counter.caller).or_insert_with(|| CallerRow {
+                // The lowest count of each window is replaced by the caller's own if the window lists it.
+                let row = merged.entry(&counter.caller).or_insert_with(|| CallerRow {
                     caller: counter.caller.clone(),
                     rank: counter.rank,
-                    count: unlisted,
-                    error: unlisted,
+                    count: max_unlisted_count,
+                    error: max_unlisted_count,
                 });
                 row.count = row.count - own + counter.count;
                 row.error = row.error - own + counter.error;
             }
         }
-        highest(joined.into_values().collect(), rows)
+        top_rows(merged.into_values().collect(), rows)
     }
 
-    /// Joins the rows of several nodes: counts and errors add up.
+    /// Merges the rows of several nodes by adding counts and errors.
     ///
     /// A true count is still at least `count - error`. It may exceed `count` by what nodes counted that
     /// do not list the caller.
     pub fn merge(parts: Vec<Vec<CallerRow>>, rows: usize) -> Vec<CallerRow> {
-        let mut joined: FastMap<Name, (u64, CallerRow)> = FastMap::default();
+        let mut merged: FastMap<Name, (u64, CallerRow)> = FastMap::default();
         for row in parts.into_iter().flatten() {
-            match joined.get_mut(&row.caller) {
+            match merged.get_mut(&row.caller) {
                 Some((largest, total)) => {
                     if row.count > *largest {
                         *largest = row.count;
@@ -217,16 +219,16 @@
                     total.error = total.error.saturating_add(row.error);
                 }
                 None => {
-                    joined.insert(row.caller.clone(), (row.count, row));
+                    merged.insert(row.caller.clone(), (row.count, row));
                 }
             }
         }
-        highest(joined.into_values().map(|(_, row)| row).collect(), rows)
+        top_rows(merged.into_values().map(|(_, row)| row).collect(), rows)
     }
 }
 
-/// Returns the rows with the highest counts, equal ones by name.
-fn highest(mut rows: Vec<CallerRow>, count: usize) -> Vec<CallerRow> {
+/// Returns the rows with the highest counts, with equal counts ordered by name.
+fn top_rows(mut rows: Vec<CallerRow>, count: usize) -> Vec<CallerRow> {
     rows.sort_unstable_by(|left, right| {
         right.count.cmp(&left.count).then_with(|| left.caller.cmp(&right.caller))
     });
--- a/crates/stats/tests/table.rs
+++ b/crates/stats/tests/table.rs
@@ -13,8 +13,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    // Guards against counts outside their stated error, heavy callers that are missing, old windows
-    // that still count, and memory that grows with callers.
+    // Guards against counts outside their error bound, heavy callers that are missing, old windows that
+    // still count, and memory that grows with the number of callers.
     #[test]
     fn error_bound_holds(
         capacity in 1usize..12,
@@ -56,7 +56,7 @@
     }
 }
 
-// Guards against merged rows that lose a node's share, and against an unstable order.
+// Guards against merged rows that lose a node's counts, and against an unstable order.
 #[test]
 fn merge_adds_counts_and_errors() {
     let row = |number, rank, count, error| CallerRow { caller: caller(number), rank, count, error };
@@ -69,7 +69,7 @@
 }
 
 // Guards against a table that grows with the number of callers: 100,000 callers leave no more rows
-// than the capacity of both windows, and a caller behind a burst among them is still listed first.
+// than the capacity of both windows, and a caller that sends a burst among them is still listed first.
 #[test]
 fn a_hundred_thousand_callers_are_bounded() {
     const CAPACITY: usize = 2_048;
