--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -2,19 +2,19 @@
 //!
 //! # Order of grants
 //!
-//! 1. A rank whose *credit* is positive, highest credit first. Credit grows with the rank's minimum share
-//!    of the slot time that all ranks use and shrinks with the slot time of the rank itself. A rank
-//!    without waiting requests cannot accumulate credit, and a rank that used free slots does not owe more
-//!    than its longest recent statement. So over any window in which a rank waits it receives its
-//!    minimum share, less one statement and the running statements.
+//! 1. A rank whose *credit* is positive, highest credit first. Credit grows with the rank's minimum
+//!    share of the slot time that all ranks use and shrinks with the slot time of the rank itself. A
+//!    rank without waiting requests cannot accumulate credit, and a rank that used free slots does not
+//!    owe more than its longest recent statement. So over any window in which a rank waits it receives
+//!    its minimum share, less one statement and the running statements.
 //! 2. The most urgent rank with waiting requests. It receives the shares that no rank uses.
 //!
 //! Inside a rank, statements of open transactions go first, since they hold locks and a connection.
 //! Then the caller with the least slot time goes first. A caller that begins to wait starts one mean
-//! statement above the caller served last: it cannot accumulate unused time, and a stream of new callers
-//! cannot overtake those that were served once. Its earlier use counts up to two mean statements above,
-//! so that one slow statement does not starve a caller that seldom sends; a caller that always has
-//! requests waiting is charged in full.
+//! statement above the caller served last: it cannot accumulate unused time, and a stream of new
+//! callers cannot overtake those that were served once. Its earlier use counts up to two mean
+//! statements above, so that one slow statement does not starve a caller that seldom sends; a caller
+//! that always has requests waiting is charged in full.
 //!
 //! A statement is charged its estimate when it is granted and the difference when it finishes, so that
 //! each of several grants in a row takes those before it into update_accounts.
@@ -30,9 +30,9 @@
 //! The service time of a selector is estimated by a smoothed mean and deviation. A request is refused
 //! when the time left is shorter than expected wait plus mean plus two deviations, so no slot time is
 //! spent on an answer that arrives too late. The expected wait is a low estimate: a request that is
-//! admitted in error is refused later, while one refused in error could have been served. On arrival the
-//! expected wait may take three quarters of the time that is left after the service; the rest absorbs
-//! variance, and lets the backlog of a burst drain soon after the burst.
+//! admitted in error is refused later, while one refused in error could have been served. On arrival
+//! the expected wait may take three quarters of the time that is left after the service; the rest
+//! absorbs variance, and lets the backlog of a burst drain soon after the burst.
 //!
 //! # Cost
 //!
@@ -50,8 +50,8 @@
 const MAX_ESTIMATES: usize = 1_024;
 /// Most idle callers whose slot time is kept for each rank.
 const MAX_IDLE_CALLERS: usize = 4_096;
-/// Lower limit of the bound on a rank's debt. With a lower bound, ranks with very short statements would
-/// merely alternate instead of receiving their minimum shares.
+/// Lower limit of the bound on a rank's debt. With a lower bound, ranks with very short statements
+/// would merely alternate instead of receiving their minimum shares.
 const MIN_DEBT_BOUND: Micros = Micros::from_millis(10);
 /// Time constant with which the longest statement decays as the bound of the debt. If the next short
 /// statements lowered the bound at once, the rank could start another long one before it has paid for
@@ -139,7 +139,8 @@
         Micros(self.mean.saturating_add(self.deviation.saturating_mul(2)))
     }
 
-    /// Lowers an estimate that alone makes every request refused, so that it recovers after an outlier.
+    /// Lowers an estimate that alone makes every request refused, so that it recovers after an
+    /// outlier.
     fn decay(&mut self) {
         self.mean -= self.mean / 16;
         self.deviation -= self.deviation / 16;
@@ -249,7 +250,7 @@
     idle: BTreeSet<(u64, usize)>,
     /// Callers by number of waiting requests outside transactions.
     callers_by_count: BTreeSet<(usize, usize)>,
-    /// Virtual time: highest slot time at which a caller was served.
+    /// Virtual time: highest slot time at which a caller was served; 0 again once the rank is empty.
     virtual_time: u64,
     waiting: u32,
     /// Waiting requests outside transactions; the limit applies to these.
@@ -534,8 +535,8 @@
             Some(index) => queue.callers[*index].as_ref().map_or(0, |state| state.backlog),
             None => 0,
         };
-        // Callers take turns, so a caller waits for at most as much slot time of each other caller as of its
-        // own.
+        // Callers take turns, so a caller waits for at most as much slot time of each other caller as
+        // of its own.
         let turns = u64::from(queue.waiting_callers) + 1;
         let ahead = queue.backlog.min(own.saturating_add(estimate.mean).saturating_mul(turns));
         let wait =
@@ -656,8 +657,8 @@
         }
     }
 
-    /// Returns the slot of a request that was abandoned, such as one whose answer was lost. Its time does
-    /// not change the estimate for others.
+    /// Returns the slot of a request that was abandoned, such as one whose answer was lost. Its time
+    /// does not change the estimate for others.
     ///
     /// ```
     /// use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
@@ -721,8 +722,8 @@
         self.expiries.first().map(|(start_by, _)| *start_by + Micros(1))
     }
 
-    /// Returns the expected wait of a request of this rank that arrives now from a caller without other
-    /// waiting requests.
+    /// Returns the expected wait of a request of this rank that arrives now from a caller without
+    /// other waiting requests.
     pub fn expected_wait(&self, now: Micros, rank: Rank) -> Micros {
         let queue = &self.ranks[rank];
         let mean = queue.backlog / u64::from(queue.waiting.max(1));
@@ -757,7 +758,8 @@
         self.running_long < self.config.slots.saturating_sub(1).max(1)
     }
 
-    /// Returns the expected time until `ahead` microseconds of the rank's waiting requests were granted.
+    /// Returns the expected time until `ahead` microseconds of the rank's waiting requests were
+    /// granted.
     fn wait_behind(&self, now: Micros, rank: Rank, ahead: u64) -> Micros {
         let slots = f64::from(self.config.slots.max(1));
         let free = self.running.len() < self.config.slots as usize;
--- a/crates/admit/tests/pool.rs
+++ b/crates/admit/tests/pool.rs
@@ -34,7 +34,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    // Guards against connections that exceed the limit, are taken twice, or are dropped without a close.
+    // Guards against connections that exceed the limit, are taken twice, or are dropped without a
+    // close.
     #[test]
     fn no_connection_leaks(steps in prop::collection::vec(step(), 1..200)) {
         let timeout = Micros::from_secs(30);
--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -146,8 +146,8 @@
         prop_assert_eq!(queue.next_expiry(), None);
     }
 
-    // Guards against a rank that receives less than its minimum share in a window in which it waits, and
-    // against a caller that starves in its rank.
+    // Guards against a rank that receives less than its minimum share in a window in which it waits,
+    // and against a caller that starves in its rank.
     #[test]
     fn minimum_shares_and_turns_hold_over_any_window(
         slots in 1u32..6,
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,8 +1,8 @@
 //! Leadership proofs, data-age proofs and failover of a database cluster.
 //!
-//! [`ClusterWatch`] monitors one cluster's databases in report rounds. [`Supervisor`] orders the cluster's
-//! promotions. Both are state machines without clock or sockets: the driver executes their actions and
-//! passes in the time of its monotonic clock.
+//! [`ClusterWatch`] monitors one cluster's databases in report rounds. [`Supervisor`] orders the
+//! cluster's promotions. Both are state machines without clock or sockets: the driver executes their
+//! actions and passes in the time of its monotonic clock.
 
 mod monitor;
 mod supervisor;
--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -11,10 +11,11 @@
 //! # Invariants
 //!
 //! **Confirmed round.** Every report of round R is a sample taken after R began, because the request
-//! is sent after the begin; this also holds for a database that is asked later in R. If a majority, the
-//! primary of T among it, reports T, then no majority had accepted a term above T when R began: such a
-//! majority shares a database with the reporting one, and that database's term would be above T. So a
-//! commit of term T whose answer arrived before R began was made while the primary of T was in office.
+//! is sent after the begin; this also holds for a database that is asked later in R. If a majority,
+//! the primary of T among it, reports T, then no majority had accepted a term above T when R began:
+//! such a majority shares a database with the reporting one, and that database's term would be above
+//! T. So a commit of term T whose answer arrived before R began was made while the primary of T was in
+//! office.
 //!
 //! **Acknowledgement.** A commit waits for the first confirmed round whose number is above the last
 //! round begun when the commit finished. A round that was already open does not count, since its
@@ -25,8 +26,8 @@
 //! position N at or past the commit. A later (or the same) confirmed round of the same term in which a
 //! majority of databases *on the primary's log* received N proves that the commit survives: any later
 //! fence majority contains one of them, the fence keeps it from discarding the entry, and the fenced
-//! database with the highest (log term, received) is promoted, so its log contains N. N does not change
-//! in later rounds, so continuous writes do not postpone the acknowledgement.
+//! database with the highest (log term, received) is promoted, so its log contains N. N does not
+//! change in later rounds, so continuous writes do not postpone the acknowledgement.
 //!
 //! **On the primary's log.** Positions alone do not compare logs: a database may hold entries of a lost
 //! suffix of an older term. All entries of one term come from one primary, so a database whose last
@@ -38,17 +39,17 @@
 //! committed before t is at or below L. A database on the primary's log with an applied position at or
 //! past L holds it. Dropping a sample makes the provable age only larger.
 //!
-//! **Required positions.** A session's reads require a position p of term F. It is part of the log of T if
-//! p is at or below the start of each term whose entries lie between F and T in the log of T's primary.
-//! That needs the start of each of these terms and the term of the last entry before it, which the
-//! primary reports. If F has no entry in that log, or p is past one of the starts, the write was lost. If
-//! the monitor missed a term between (it belongs to a new owner, or was paused), the answer is
-//! uncertain: the replacement, the start of the current term, covers the write if it survived, but
-//! whether it did is not known. A position at or before the start of its own term belongs to the term
-//! before, because it needs no entry of its own term. The position is the primary's at the
-//! acknowledging round, so it may be past the write: "lost" means that a part of the log up to that
-//! position was lost. "Met" describes the database when it was sampled; as with the data age, the driver
-//! checks again when the response starts.
+//! **Required positions.** A session's reads require a position p of term F. It is part of the log of
+//! T if p is at or below the start of each term whose entries lie between F and T in the log of T's
+//! primary. That needs the start of each of these terms and the term of the last entry before it,
+//! which the primary reports. If F has no entry in that log, or p is past one of the starts, the write
+//! was lost. If the monitor missed a term between (it belongs to a new owner, or was paused), the
+//! answer is uncertain: the replacement, the start of the current term, covers the write if it
+//! survived, but whether it did is not known. A position at or before the start of its own term
+//! belongs to the term before, because it needs no entry of its own term. The position is the
+//! primary's at the acknowledging round, so it may be past the write: "lost" means that a part of the
+//! log up to that position was lost. "Met" describes the database when it was sampled; as with the
+//! data age, the driver checks again when the response starts.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -163,8 +164,8 @@
 const SAMPLE_GAP_DIVISOR: u64 = 16;
 /// Most terms whose start is kept. With two promotions a day this covers a month.
 const MAX_TERM_STARTS: usize = 64;
-/// Time between rounds while only commits of earlier rounds wait, so that a lagging replica is not polled
-/// without pause.
+/// Time between rounds while only commits of earlier rounds wait, so that a lagging replica is not
+/// polled without pause.
 const ROUND_RETRY_INTERVAL: Micros = Micros::from_millis(5);
 /// Time before a database whose report failed is asked again, so that a refused connection is not
 /// retried with every commit.
@@ -460,8 +461,8 @@
     }
 
     /// Compares a database with a required position. A position of a term above the confirmed one is
-    /// `NotYet`; if a round that began after the position was presented confirms a lower term, it is of
-    /// another cluster, because terms do not decrease at a majority.
+    /// `NotYet`; if a round that began after the position was presented confirms a lower term, it is
+    /// of another cluster, because terms do not decrease at a majority.
     pub fn floor_state(&self, database: &str, required: SessionFloor) -> FloorState {
         if required.term > self.term || self.leader.is_none() {
             return FloorState::NotYet;
@@ -665,19 +666,19 @@
             .map(|(_, report)| report.received)
             .collect();
         received.sort_unstable_by(|left, right| right.cmp(left));
-        let stored = match received.get(majority - 1) {
+        let majority_received = match received.get(majority - 1) {
             _ if self.faults.no_receipt => LogPosition(u64::MAX),
-            Some(stored) => *stored,
+            Some(position) => *position,
             None => LogPosition(0),
         };
-        let stored_known = self.faults.no_receipt || received.len() >= majority;
+        let majority_known = self.faults.no_receipt || received.len() >= majority;
         let (term, number) = (self.term, round.number);
         self.commits.retain_mut(|pending| {
             if pending.term != term || pending.first_round > number {
                 return true;
             }
             let needed = *pending.covered_by.get_or_insert(position);
-            if pending.durable && !(stored_known && stored >= needed) {
+            if pending.durable && !(majority_known && majority_received >= needed) {
                 return true;
             }
             let floor = SessionFloor { term, position: needed };
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -29,11 +29,12 @@
 //!
 //! # Switchover
 //!
-//! When the leader's database is leaving, the promotion starts at `record-read`: the leader still leads,
-//! so the other owners would object. It starts only while a database that is not leaving reports the
-//! leader's whole log, because fencing a leader that no database can replace is a needless outage.
-//! Among equal logs a database that is not leaving is promoted. If the leaving one has the longest log
-//! after all, it is promoted again, so nothing is lost, and the next attempt follows 10 s later.
+//! When the leader's database is leaving, the promotion starts at `record-read`: the leader still
+//! leads, so the other owners would object. It starts only while a database that is not leaving
+//! reports the leader's whole log, because fencing a leader that no database can replace is a needless
+//! outage. Among equal logs a database that is not leaving is promoted. If the leaving one has the
+//! longest log after all, it is promoted again, so nothing is lost, and the next attempt follows 10 s
+//! later.
 //!
 //! While idle, the supervisor writes the record of its last promotion as soon as the platform answers,
 //! and orders databases that are behind a confirmed term to follow its leader.
@@ -173,7 +174,7 @@
 
 /// Last report of a database, to find out whether it follows the leader.
 #[derive(Clone, Debug)]
-struct FollowState {
+struct FollowerState {
     database: Name,
     report: DatabaseReport,
     /// When its received position last changed.
@@ -216,11 +217,11 @@
     /// Owners whose view arrived, or that could not be asked, in the current promotion.
     answered_owners: Vec<Name>,
     pending_record: Option<PendingRecord>,
-    /// A write was abandoned before its answer arrived. The late answer could be mistaken for that to a
-    /// later write, so only a read then shows that a pending record was written.
+    /// A write was abandoned before its answer arrived. The late answer could be mistaken for that to
+    /// a later write, so only a read then shows that a pending record was written.
     write_abandoned: bool,
     leader: Option<(Term, Name)>,
-    followers: Vec<FollowState>,
+    followers: Vec<FollowerState>,
     /// Databases that are not promoted while another one has an equal log.
     leaving: Vec<Name>,
     /// When the last switchover began.
@@ -421,7 +422,7 @@
                 self.step = PromotionStep::Views { until: now + VIEW_TIMEOUT };
                 actions.push(SupervisorAction::AskViews);
             }
-            PromotionStep::Views { until } if now >= *until => self.begin_record(now, actions),
+            PromotionStep::Views { until } if now >= *until => self.begin_record_read(now, actions),
             PromotionStep::RecordRead { until } | PromotionStep::RecordWrite { until }
                 if now >= *until =>
             {
@@ -479,16 +480,16 @@
             self.answered_owners.push(from);
         }
         if self.answered_owners.len() + 1 >= self.databases.len() {
-            self.begin_record(now, actions);
+            self.begin_record_read(now, actions);
         }
     }
 
     /// Begins a switchover if a database that is not leaving holds the leader's whole log.
     fn begin_switchover(&mut self, now: Micros, term: Term, actions: &mut Vec<SupervisorAction>) {
-        let Some((led, leader)) = &self.leader else { return };
+        let Some((leader_term, leader)) = &self.leader else { return };
         let due = self.switchover_at.is_none_or(|at| now >= at + SWITCHOVER_INTERVAL);
         let idle = self.step == PromotionStep::Idle && now >= self.paused_until;
-        if *led != term || !self.leaving.contains(leader) || !due || !idle {
+        if *leader_term != term || !self.leaving.contains(leader) || !due || !idle {
             return;
         }
         let mut current = self.followers.iter().filter(|follower| follower.report.term == term);
@@ -502,11 +503,11 @@
         });
         if ready {
             self.switchover_at = Some(now);
-            self.begin_record(now, actions);
+            self.begin_record_read(now, actions);
         }
     }
 
-    fn begin_record(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
+    fn begin_record_read(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         self.pending_record = None;
         self.target = self.highest_term.next();
         if now < self.platform_retry_at {
@@ -775,7 +776,8 @@
         }
     }
 
-    /// Stores the report and when its received position last changed; returns its index in `followers`.
+    /// Stores the report and when its received position last changed; returns its index in
+    /// `followers`.
     fn store_report(&mut self, now: Micros, database: &Name, report: DatabaseReport) -> usize {
         let known = self.followers.iter().position(|follower| follower.database == *database);
         if let Some(index) = known {
@@ -786,7 +788,7 @@
             follower.report = report;
             return index;
         }
-        self.followers.push(FollowState {
+        self.followers.push(FollowerState {
             database: database.clone(),
             report,
             received_changed_at: now,
@@ -798,7 +800,7 @@
     /// Orders a database to follow the confirmed leader if its report shows that it does not.
     fn order_follow(&mut self, now: Micros, index: usize, actions: &mut Vec<SupervisorAction>) {
         let Some((term, leader)) = self.leader.clone() else { return };
-        let FollowState { database, report, received_changed_at, ordered_at } =
+        let FollowerState { database, report, received_changed_at, ordered_at } =
             self.followers[index].clone();
         if leader == database || report.term > term || self.step != PromotionStep::Idle {
             return;
--- a/crates/failover/tests/model.rs
+++ b/crates/failover/tests/model.rs
@@ -39,8 +39,8 @@
     #![proptest_config(ProptestConfig { cases: 192, ..ProptestConfig::default() })]
 
     // Guards against acknowledged writes of a replaced primary, durable writes missing at a later
-    // leader, two leaders in a term, proved ages that are too low, required positions wrongly met, and a
-    // cluster that has no leader after its faults are over.
+    // leader, two leaders in a term, proved ages that are too low, required positions wrongly met, and
+    // a cluster that has no leader after its faults are over.
     #[test]
     fn faults_break_no_guarantee(
         seed in any::<u64>(),
--- a/crates/failover/tests/monitor.rs
+++ b/crates/failover/tests/monitor.rs
@@ -94,8 +94,8 @@
     assert_eq!(actions, [acknowledged]);
 }
 
-// Guards against writes falsely reported as lost after an ordinary failover, and against lost writes that
-// are not reported.
+// Guards against writes falsely reported as lost after an ordinary failover, and against lost writes
+// that are not reported.
 #[test]
 fn required_positions_survive_a_failover() {
     let mut monitor = monitor();
@@ -123,8 +123,8 @@
     assert_eq!(monitor.floor_state("b", required_position(2, 50)), FloorState::Met);
 }
 
-// Guards against an owner that knows only the newest term and reports a write as lost that survived, or
-// does not report one that may have been lost in a term between.
+// Guards against an owner that knows only the newest term and reports a write as lost that survived,
+// or does not report one that may have been lost in a term between.
 #[test]
 fn new_owner_does_not_report_a_surviving_write_as_lost() {
     let mut monitor = monitor();
--- a/crates/failover/tests/record.rs
+++ b/crates/failover/tests/record.rs
@@ -63,7 +63,8 @@
         assert_eq!(self.supervisor.step(), "idle");
     }
 
-    /// Answers reads with `found` and writes with success for 20 s. Returns the terms of the leading records that it wrote.
+    /// Answers reads with `found` and writes with success for 20 s. Returns the terms of the leading
+    /// records that it wrote.
     fn settle(&mut self, mut found: Option<LeaderRecord>) -> Vec<Term> {
         let mut written = Vec::new();
         for _ in 0..40 {
--- a/crates/failover/tests/supervisor.rs
+++ b/crates/failover/tests/supervisor.rs
@@ -122,8 +122,8 @@
     run(concat(events, more))
 }
 
-// Guards against a leaving database that stays primary or is promoted again needlessly, against a fence
-// without a database that can replace the leader, and against repeated switchovers.
+// Guards against a leaving database that stays primary or is promoted again needlessly, against a
+// fence without a database that can replace the leader, and against repeated switchovers.
 #[test]
 fn branches_of_a_switchover() {
     const LEAVING: SupervisorEvent = LeaderLeaving { term: Term(4) };
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -591,8 +591,8 @@
 
     fn record_promotion(&mut self, index: usize, term: u64) {
         let log = self.databases[index].log.clone();
-        // A late order may still promote a database in an older term than the entries; no database follows
-        // it.
+        // A late order may still promote a database in an older term than the entries; no database
+        // follows it.
         let mut older = self.durable.iter().filter(|entry| entry.0 < term);
         if let Some(lost) = older.find(|entry| !self.has_entry(&log, entry)).copied() {
             self.record_violation(format!("term {term} lacks the durable entry {lost:?}"));
--- a/crates/member/src/table.rs
+++ b/crates/member/src/table.rs
@@ -4,15 +4,15 @@
 //! `missed_limit` intervals without an answer it suspects the contact and tells the contact's other
 //! observers and one more node. Each of them ignores the suspicion if it received an answer itself,
 //! confirms it if it missed the same number of answers, and probes the member otherwise. A member is
-//! declared dead when a second node gets no answer either. Suspicions are sent only to these few nodes;
-//! deaths, joins and leaves are forwarded to all. A member that learns of its own death refutes it with a
-//! higher incarnation, which replaces the dead entry.
+//! declared dead when a second node gets no answer either. Suspicions are sent only to these few
+//! nodes; deaths, joins and leaves are forwarded to all. A member that learns of its own death refutes
+//! it with a higher incarnation, which replaces the dead entry.
 //!
 //! Data centres: each has one watcher, the only member that sends heartbeats to other data centres, to
-//! their watchers. When neither the watcher of another data centre nor its successors answer, that data
-//! centre is unreachable from this one: its members own nothing here, but none is declared dead, so
-//! nothing has to be refuted when the partition heals. The flag is disseminated inside the data centre as
-//! revision `reach/OWN/OTHER` (odd: unreachable) among the revisions of documents.
+//! their watchers. When neither the watcher of another data centre nor its successors answer, that
+//! data centre is unreachable from this one: its members own nothing here, but none is declared dead,
+//! so nothing has to be refuted when the partition heals. The flag is disseminated inside the data
+//! centre as revision `reach/OWN/OTHER` (odd: unreachable) among the revisions of documents.
 
 mod detect;
 mod merge;
@@ -46,8 +46,8 @@
 /// Intervals between two heartbeats to dead members, which detect that a partition healed.
 const DEAD_PROBE_ROUNDS: u64 = 5;
 
-/// A table is pulled once this node's table is unchanged and the digest differs for these times, or once
-/// the digest differs for the long time.
+/// A table is pulled once this node's table is unchanged and the digest differs for these times, or
+/// once the digest differs for the long time.
 const PULL_QUIET_TIME: Micros = Micros::from_secs(1);
 const PULL_DIFFERENCE_TIME: Micros = Micros::from_secs(2);
 const PULL_LONG_DIFFERENCE_TIME: Micros = Micros::from_secs(5);
--- a/crates/member/src/table/detect.rs
+++ b/crates/member/src/table/detect.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Suspects a silent contact and asks other nodes for confirmation. Members of other data centres are
-    /// never suspected here, because their own data centre decides; see the module documentation.
+    /// Suspects a silent contact and asks other nodes for confirmation. Members of other data centres
+    /// are never suspected here, because their own data centre decides; see the module documentation.
     fn suspect(&mut self, now: Micros, name: &Name, actions: &mut Vec<MemberAction>) {
         let Some(entry) = self.entries.get_mut(name) else { return };
         if entry.is_dead() || entry.info.data_centre != self.own.data_centre {
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Sends a heartbeat to one dead member of the own data centre every few rounds, so that the sides of
-    /// a partition inside a data centre find each other again.
+    /// Sends a heartbeat to one dead member of the own data centre every few rounds, so that the sides
+    /// of a partition inside a data centre find each other again.
     fn probe_dead_member(&mut self, actions: &mut Vec<MemberAction>) {
         let own = text_hash(&self.own.name);
         if !self.rounds.wrapping_add(own).is_multiple_of(DEAD_PROBE_ROUNDS) {
--- a/crates/member/src/table/merge.rs
+++ b/crates/member/src/table/merge.rs
@@ -189,8 +189,8 @@
         }
         let dead = info.state == MemberState::Dead;
         let Some(entry) = self.entries.get_mut(&info.name) else {
-            // The death of an unknown member is ignored; an entry for it would also bring back members that
-            // were forgotten here but not yet elsewhere.
+            // The death of an unknown member is ignored; an entry for it would also bring back members
+            // that were forgotten here but not yet elsewhere.
             if !dead && self.entries.len() < MAX_MEMBERS {
                 let leaving = info.state == MemberState::Leaving;
                 let entry = MemberEntry { info: info.clone(), leaving, since: now };
--- a/crates/member/tests/fleet.rs
+++ b/crates/member/tests/fleet.rs
@@ -412,8 +412,8 @@
     check_dissemination(660, 7);
 }
 
-/// Runs a fleet with documents and changes and returns the highest numbers of bytes and messages that a
-/// node sent per second.
+/// Runs a fleet with documents and changes and returns the highest numbers of bytes and messages that
+/// a node sent per second.
 fn traffic(count: usize, data_centres: usize) -> (u64, u64) {
     const SECONDS: u64 = 60;
     let mut fleet = FleetModel::start(count, data_centres);
--- a/crates/member/tests/hash.rs
+++ b/crates/member/tests/hash.rs
@@ -111,8 +111,8 @@
 }
 
 proptest! {
-    /// Guards against events after which the node is missing in its own table, names no owner or sends too
-    /// many messages.
+    /// Guards against events after which the node is missing in its own table, names no owner or sends
+    /// too many messages.
     #[test]
     fn any_events_keep_the_table_consistent(
         events in prop::collection::vec((0u64..2_000, any_event()), 1..60)
--- a/crates/model/tests/label.rs
+++ b/crates/model/tests/label.rs
@@ -1,5 +1,5 @@
-//! Label selectors. Guards against white space that changes the meaning of a selector, and against texts
-//! from operators that make the parser panic.
+//! Label selectors. Guards against white space that changes the meaning of a selector, and against
+//! texts from operators that make the parser panic.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/route/src/classify.rs
+++ b/crates/route/src/classify.rs
@@ -1,9 +1,9 @@
 //! Statement classes.
 //!
-//! The classifier reads tokens and does not parse the grammar: it must find the exact ends of comments,
-//! strings and identifiers, and is conservative about everything else. A statement that it is not sure
-//! about is a write, because a write served as a read breaks a guarantee, while a read served as a write
-//! only costs a round trip to the primary.
+//! The classifier reads tokens and does not parse the grammar: it must find the exact ends of
+//! comments, strings and identifiers, and is conservative about everything else. A statement that it
+//! is not sure about is a write, because a write served as a read breaks a guarantee, while a read
+//! served as a write only costs a round trip to the primary.
 
 use model::Name;
 
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -127,9 +127,9 @@
 /// Chooses the database for a request. Writes go to the leader; reads prefer a replica in the own data
 /// centre that can probably prove the accepted data age. Returns `None` if no database is eligible.
 ///
-/// A leader that is leaving still receives writes, because no other database can serve them until one is
-/// promoted. The selector's `servers` apply only to replicas, because the primary serves all reads that
-/// no replica can.
+/// A leader that is leaving still receives writes, because no other database can serve them until one
+/// is promoted. The selector's `servers` apply only to replicas, because the primary serves all reads
+/// that no replica can.
 pub fn choose_database(
     policy: &WorkPolicy,
     read: bool,
--- a/crates/route/src/token.rs
+++ b/crates/route/src/token.rs
@@ -1,8 +1,8 @@
 //! Signed session tokens.
 //!
 //! A token is the URL-safe base64 text of: version byte, key id, number of required positions, the
-//! positions (length and bytes of the cluster's name, term, log position), and an HMAC-SHA256 over all of
-//! it. It does not expire: a position that a cluster has long passed is met at once.
+//! positions (length and bytes of the cluster's name, term, log position), and an HMAC-SHA256 over all
+//! of it. It does not expire: a position that a cluster has long passed is met at once.
 
 use std::collections::BTreeMap;
 
--- a/crates/route/src/token_stream.rs
+++ b/crates/route/src/token_stream.rs
@@ -168,7 +168,8 @@
                 self.at += 1;
                 Some(Token::Text(self.read_quoted(b'\'', false).into_owned()))
             }
-            // An identifier with Unicode escapes may name any function, so the text cannot be classified.
+            // An identifier with Unicode escapes may name any function, so the text cannot be
+            // classified.
             b'u' | b'U' if self.byte(1) == Some(b'&') && self.byte(2) == Some(b'"') => {
                 self.at += 2;
                 self.read_quoted(b'"', false);
--- a/crates/route/tests/classify.rs
+++ b/crates/route/tests/classify.rs
@@ -1,6 +1,6 @@
-//! Classification of statements. Guards against writes classified as reads, which a replica would serve or
-//! which would be answered without proof, and against session state that leaks to other clients through a
-//! pooled connection.
+//! Classification of statements. Guards against writes classified as reads, which a replica would
+//! serve or which would be answered without proof, and against session state that leaks to other
+//! clients through a pooled connection.
 
 use std::fmt::Write as _;
 
--- a/crates/route/tests/token.rs
+++ b/crates/route/tests/token.rs
@@ -1,4 +1,5 @@
-//! Session tokens. Guards against clients that forge a required position or crash the proxy with a token.
+//! Session tokens. Guards against clients that forge a required position or crash the proxy with a
+//! token.
 
 use model::{LogPosition, SessionFloor, Term};
 use proptest::prelude::*;
--- a/crates/stats/src/lib.rs
+++ b/crates/stats/src/lib.rs
@@ -15,9 +15,9 @@
 //! - a caller that is not listed has a true count of at most N / capacity, so a caller with more than
 //!   1 / capacity of the total is always listed.
 //!
-//! A report combines the current window of 5 minutes and the one before. A caller that only one of them
-//! lists gets the lowest count of the other added to its count and error, so both statements hold with N
-//! as the total of both.
+//! A report combines the current window of 5 minutes and the one before. A caller that only one of
+//! them lists gets the lowest count of the other added to its count and error, so both statements hold
+//! with N as the total of both.
 
 use std::collections::BTreeSet;
 
@@ -188,7 +188,8 @@
         for set in &sets {
             let own = set.max_unlisted_count(self.capacity);
             for counter in &set.counters {
-                // The lowest count of each window is replaced by the caller's own if the window lists it.
+                // The lowest count of each window is replaced by the caller's own if the window lists
+                // it.
                 let row = merged.entry(&counter.caller).or_insert_with(|| CallerRow {
                     caller: counter.caller.clone(),
                     rank: counter.rank,
--- a/crates/stats/tests/table.rs
+++ b/crates/stats/tests/table.rs
@@ -13,8 +13,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    // Guards against counts outside their error bound, heavy callers that are missing, old windows that
-    // still count, and memory that grows with the number of callers.
+    // Guards against counts outside their error bound, heavy callers that are missing, old windows
+    // that still count, and memory that grows with the number of callers.
     #[test]
     fn error_bound_holds(
         capacity in 1usize..12,
