--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -86,7 +86,9 @@
                 }
                 QueueStep::Cancel(index) => {
                     let request = index as u64 % (next + 1);
-                    let waits = states.get(&request).is_some_and(|(state, _)| *state == RequestState::Waiting);
+                    let waits = states
+                        .get(&request)
+                        .is_some_and(|(state, _)| *state == RequestState::Waiting);
                     let cancelled = queue.cancel(WorkId(request));
                     // A request that the queue has already refused is returned by the next expire.
                     prop_assert!(waits || !cancelled);
@@ -125,7 +127,8 @@
                 }
                 QueueStep::Wait(micros) => now += micros,
             }
-            let held = states.values().filter(|state| **state == (RequestState::Waiting, true)).count();
+            let held =
+                states.values().filter(|state| **state == (RequestState::Waiting, true)).count();
             let waiting = queue.stats().waiting.0.iter().sum::<u32>() as usize;
             prop_assert!(waiting <= 3 * 6 + held, "{} wait", waiting);
             prop_assert_eq!(queue.stats().running.0.iter().sum::<u32>() as usize, running.len());
@@ -141,7 +144,11 @@
             prop_assert_eq!(states[&request.0].0, RequestState::Waiting);
             states.get_mut(&request.0).unwrap().0 = RequestState::Ended;
         }
-        prop_assert!(states.values().all(|(state, _)| *state == RequestState::Ended), "{:?}", states);
+        prop_assert!(
+            states.values().all(|(state, _)| *state == RequestState::Ended),
+            "{:?}",
+            states
+        );
         prop_assert_eq!(queue.stats().waiting, RankMap([0; 3]));
         prop_assert_eq!(queue.next_expiry(), None);
     }
--- a/crates/failover/tests/model.rs
+++ b/crates/failover/tests/model.rs
@@ -64,13 +64,18 @@
     ) {
         let duration = 60_000;
         let mut faults = vec![
-            InjectedFault { at: 5_000, duration: duration, kind: FaultKind::FreezePrimary },
-            InjectedFault { at: 5_000 + paused_after, duration: duration, kind: FaultKind::PauseNode(paused_node) },
+            InjectedFault { at: 5_000, duration, kind: FaultKind::FreezePrimary },
+            InjectedFault {
+                at: 5_000 + paused_after,
+                duration,
+                kind: FaultKind::PauseNode(paused_node),
+            },
         ];
         if platform_unavailable {
-            faults.push(InjectedFault { at: 4_000, duration: duration, kind: FaultKind::PlatformUnavailable });
+            faults.push(InjectedFault { at: 4_000, duration, kind: FaultKind::PlatformUnavailable });
         }
-        let mut model = ClusterModel::new(ModelOptions { loss: 2, late: 2, ..options(seed, faults) });
+        let options = ModelOptions { loss: 2, late: 2, ..options(seed, faults) };
+        let mut model = ClusterModel::new(options);
         model.run(4_999);
         let before = *model.confirmed_terms.keys().last().unwrap_or(&0);
         prop_assert!(before > 0);
--- a/crates/member/src/gossip.rs
+++ b/crates/member/src/gossip.rs
@@ -91,8 +91,7 @@
 }
 
 impl RevisionTable {
-    /// Records a revision that this node holds; returns whether it is newer
-    /// than the one before.
+    /// Records a revision that this node holds; returns whether it is newer than the one before.
     pub(crate) fn record_held(&mut self, document: &Name, revision: u64) -> bool {
         if self.held.len() >= MAX_DOCUMENTS && !self.held.contains_key(document) {
             return false;
--- a/crates/member/src/table/merge.rs
+++ b/crates/member/src/table/merge.rs
@@ -82,11 +82,11 @@
             }
         }
         for (document, revision) in &heartbeat.revisions {
-            if let Some(places) = document.strip_prefix(REACH_PREFIX) {
+            if let Some(data_centres) = document.strip_prefix(REACH_PREFIX) {
                 let own = self.own.data_centre.clone();
                 if from.data_centre == own
-                    && let Some((place, other)) = places.split_once('/')
-                    && place == own.as_str()
+                    && let Some((observer, other)) = data_centres.split_once('/')
+                    && observer == own.as_str()
                 {
                     self.merge_reachability(now, &other.into(), *revision, actions);
                 }
--- a/crates/model/tests/label.rs
+++ b/crates/model/tests/label.rs
@@ -65,7 +65,8 @@
         label_value in "[a-z0-9]{1,8}", blanks in "[ ]{0,3}",
     ) {
         let compact = format!("{key} in ({})", values.join(","));
-        let spaced = format!("{blanks}{key} {blanks}in{blanks} ({blanks}{}{blanks}){blanks}", values.join(&format!("{blanks},{blanks}")));
+        let list = values.join(&format!("{blanks},{blanks}"));
+        let spaced = format!("{blanks}{key} {blanks}in{blanks} ({blanks}{list}{blanks}){blanks}");
         let labels = LabelSet::from_pairs([(key.as_str(), label_value.as_str())]);
         let expected = values.contains(&label_value);
         prop_assert_eq!(selector(&compact).matches(&labels), expected);
--- a/crates/route/tests/classify.rs
+++ b/crates/route/tests/classify.rs
@@ -151,7 +151,9 @@
 
     /// Guards against comments and white space that hide a write.
     #[test]
-    fn comments_and_white_space_hide_no_write(blank in prop::sample::select(vec![" ", "\n", "/* x */", "--\n"])) {
+    fn comments_and_white_space_hide_no_write(
+        blank in prop::sample::select(vec![" ", "\n", "/* x */", "--\n"]),
+    ) {
         let text = format!("{blank}insert{blank}into{blank}t{blank}values{blank}(1){blank}");
         prop_assert_eq!(classify(&text).0, StatementClass::Write);
     }
