--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -17,7 +17,7 @@
 //! that always has requests waiting is charged in full.
 //!
 //! A statement is charged its estimate when it is granted and the difference when it finishes, so that
-//! each of several grants in a row takes those before it into update_accounts.
+//! each of several grants in a row takes those before it into account.
 //!
 //! # Long statements
 //!
@@ -232,7 +232,7 @@
         (self.used, self.activated, index)
     }
 
-    fn new_count(&self) -> usize {
+    fn new_request_count(&self) -> usize {
         self.sub_queues[SubQueue::NewShort as usize].len()
             + self.sub_queues[SubQueue::NewLong as usize].len()
     }
@@ -319,7 +319,7 @@
         let state = self.caller(waiting.caller);
         let idle = !state.is_waiting();
         let idle_key = (state.used, waiting.caller);
-        let count = state.new_count();
+        let count = state.new_request_count();
         if idle {
             state.used = state.used.clamp(least, most);
             state.activated = waiting.sequence;
@@ -347,7 +347,7 @@
 
     fn remove_request(&mut self, waiting: &WaitingRequest) {
         let state = self.caller(waiting.caller);
-        let count = state.new_count();
+        let count = state.new_request_count();
         let used = state.used;
         let key = state.order_key(waiting.caller);
         let sub_queue = &mut state.sub_queues[waiting.sub_queue as usize];
@@ -420,7 +420,7 @@
     }
 
     /// Returns the sub-queue and caller to serve next: transactions first, then the least slot time.
-    fn next(&self, long_allowed: bool) -> Option<(SubQueue, usize)> {
+    fn next_to_serve(&self, long_allowed: bool) -> Option<(SubQueue, usize)> {
         SubQueue::ALL.chunks(2).find_map(|pair| {
             pair.iter()
                 .filter(|sub_queue| long_allowed || !sub_queue.is_long())
@@ -824,7 +824,7 @@
         order.sort_unstable();
         order.into_iter().find_map(|(_, rank)| {
             let long_allowed = rank == Rank::Urgent || self.is_long_allowed();
-            let (sub_queue, caller) = self.ranks[rank].next(long_allowed)?;
+            let (sub_queue, caller) = self.ranks[rank].next_to_serve(long_allowed)?;
             Some((rank, sub_queue, caller))
         })
     }
@@ -835,7 +835,7 @@
         let reason = RefusalReason::QueueFull { limit };
         let queue = &mut self.ranks[rank];
         let own = match queue.index.get(arriving) {
-            Some(index) => queue.caller(*index).new_count(),
+            Some(index) => queue.caller(*index).new_request_count(),
             None => 0,
         };
         let victim = match queue.callers_by_count.last() {
--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -299,7 +299,7 @@
     samples: VecDeque<PositionSample>,
     terms: BTreeMap<Term, TermStart>,
     /// Highest term that any database reported.
-    highest: Term,
+    highest_reported: Term,
     commits: Vec<PendingCommit>,
     /// When the primary last reported, or the first event arrived.
     alive_at: Option<Micros>,
@@ -323,7 +323,7 @@
             confirmed: None,
             samples: VecDeque::new(),
             terms: BTreeMap::new(),
-            highest: Term(0),
+            highest_reported: Term(0),
             commits: Vec::new(),
             alive_at: None,
             suspected: false,
@@ -577,8 +577,8 @@
         if state.latest.is_none_or(|(newest, _, _)| newest < number) {
             state.latest = Some((number, round.began, report));
         }
-        self.highest = self.highest.max(report.term);
-        if report.role == DatabaseRole::Primary && report.term >= self.highest {
+        self.highest_reported = self.highest_reported.max(report.term);
+        if report.role == DatabaseRole::Primary && report.term >= self.highest_reported {
             self.alive_at = Some(now);
         }
         self.evaluate_round(now, number, actions);
@@ -820,7 +820,7 @@
         let alive_at = self.alive_at.unwrap_or(now);
         let suspected = now >= alive_at + self.config.suspect_after;
         if suspected && (timer || !self.suspected) {
-            actions.push(WatchAction::PrimarySuspected { term: self.highest });
+            actions.push(WatchAction::PrimarySuspected { term: self.highest_reported });
         }
         if self.suspected && !suspected {
             actions.push(WatchAction::SuspicionCleared);
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! One cluster's promotion, step by step.
+//! Failover and switchover of one cluster: the steps of a promotion.
 //!
 //! # Steps and why each is safe
 //!
--- a/crates/route/src/classify.rs
+++ b/crates/route/src/classify.rs
@@ -345,7 +345,7 @@
             .any(|window| window.iter().zip(words).all(|(token, word)| is_word(Some(token), word)))
     }
 
-    /// StatementWords and quoted identifiers, in lower case.
+    /// Words and quoted identifiers, in lower case.
     fn names(&self) -> impl Iterator<Item = String> {
         self.0.iter().filter_map(|token| match token {
             Token::Word(word) => Some(word.to_ascii_lowercase()),
