--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -18,8 +18,8 @@
 use stakker_mio::{MioPoll, Ready};
 
 use crate::cancel::send_cancel;
+use crate::driver::IoDriver;
 use crate::handshake::{SERVER_MESSAGE_LIMIT, ServerHandshake, startup_packet};
-use crate::hub::Hub;
 use crate::relay::{AnswerSink, RelayWindow};
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
@@ -106,7 +106,7 @@
 pub(crate) struct Backend {
     id: ConnectionId,
     address: SocketAddress,
-    hub: Actor<Hub>,
+    driver: Actor<IoDriver>,
     socket: BufferedSocket,
     state: BackendState,
     statements: ConnectionStatements,
@@ -120,7 +120,7 @@
 
 impl Backend {
     /// Begins to open a connection.
-    pub(crate) fn init(cx: CX![], hub: Actor<Hub>, start: BackendStart) -> Option<Self> {
+    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, start: BackendStart) -> Option<Self> {
         let BackendStart { id, address, user, catalog, pool, scratch } = start;
         let poll: MioPoll = cx.anymap_get();
         let ready = fwd_to!([cx], ready() as (Ready));
@@ -130,7 +130,7 @@
             Ok(socket) => socket,
             Err(error) => {
                 let message = format!("failed to connect to {address}: {error}");
-                call!([hub, cx], backend_lost(id, message));
+                call!([driver, cx], backend_lost(id, message));
                 return None;
             }
         };
@@ -140,7 +140,7 @@
         Some(Backend {
             id,
             address,
-            hub,
+            driver,
             socket,
             state: BackendState::Opening(ServerHandshake::default()),
             statements: ConnectionStatements::new(STATEMENT_LIMIT),
@@ -178,11 +178,11 @@
         }
     }
 
-    /// Reports the loss once; the hub then drops this actor.
+    /// Reports the loss once; the driver then drops this actor.
     fn lose(&mut self, cx: CX![], message: String) {
         if !self.lost {
             self.lost = true;
-            call!([self.hub, cx], backend_lost(self.id, message));
+            call!([self.driver, cx], backend_lost(self.id, message));
         }
     }
 
@@ -231,7 +231,7 @@
                         self.process = handshake.process;
                         self.secret = std::mem::take(&mut handshake.secret);
                         self.state = BackendState::Idle;
-                        call!([self.hub, cx], backend_opened(self.id));
+                        call!([self.driver, cx], backend_opened(self.id));
                     }
                 }
                 BackendState::Idle | BackendState::Ending(_) => {
@@ -391,7 +391,7 @@
                 && active.held.len() + bytes.len() > HELD_BYTES
             {
                 active.policy = OutputPolicy::HoldRest;
-                call!([self.hub, cx], held_rows_relayed(self.id, active.run));
+                call!([self.driver, cx], held_rows_relayed(self.id, active.run));
                 let held = active.held.split().freeze();
                 relay(cx, active, &self.window, held);
             }
@@ -406,7 +406,7 @@
             // The node decides about an answer that begins with an error when it is complete.
             let is_error = bytes.first() == Some(&kind::ERROR);
             if active.policy == OutputPolicy::Undecided && !is_error {
-                call!([self.hub, cx], run_started(self.id, active.run));
+                call!([self.driver, cx], run_started(self.id, active.run));
             }
         }
         match active.policy {
@@ -419,7 +419,7 @@
                         return Err(too_much_held());
                     }
                     active.policy = OutputPolicy::HoldCompletion;
-                    call!([self.hub, cx], held_rows_relayed(self.id, active.run));
+                    call!([self.driver, cx], held_rows_relayed(self.id, active.run));
                     let held = active.held.split().freeze();
                     relay(cx, active, &self.window, held);
                 }
@@ -450,7 +450,7 @@
                     }
                     _ => None,
                 };
-                call!([self.hub, cx], run_finished(self.id, run, summary, held));
+                call!([self.driver, cx], run_finished(self.id, run, summary, held));
                 if self.cancel == CancelState::Failed {
                     self.lose(cx, "a cancel request may still be on its way".to_owned());
                 }
@@ -539,7 +539,7 @@
         }
     }
 
-    /// Says goodbye; the hub drops the actor afterwards.
+    /// Says goodbye; the driver drops the actor afterwards.
     pub(crate) fn close(&mut self, cx: CX![]) {
         let mut output = BytesMut::new();
         pg::put_terminate(&mut output);
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,12 +1,12 @@
 //! The actor that owns the node and carries out its actions.
 //!
-//! Sessions, connections, peers, threads and timers report what happened; the hub passes it to the
+//! Sessions, connections, peers, threads and timers report what happened; the driver passes it to the
 //! node as an event with the loop's time and carries out the actions in order. It also owns every
 //! other actor, so that dropping an entry of its tables releases all that the entry held.
 //! The modules below hold its work by neighbour: callers, backend servers, peers, and control.
 
 mod backends;
-mod callers;
+mod clients;
 mod control;
 mod peers;
 
@@ -52,34 +52,34 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Peers of the settings that are asked at once.
-const PEERS_ASKED: usize = 4;
+const PEER_PROBE_COUNT: usize = 4;
 
 /// Connections beyond the caller limit that are kept to tell their callers so.
-const REFUSED_LIMIT: usize = 64;
+const REFUSED_CONNECTION_LIMIT: usize = 64;
 
 /// Time beyond the drain timeout after which the process ends in any case.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
 /// Time for the last messages to callers after the node finished its shutdown.
-const LAST_FLUSH: Duration = Duration::from_secs(2);
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for writing the last message of a call's answer to its peer, which a task of this thread does: some
 /// turns of the loop beside load.
-const LAST_REPLY: Duration = Duration::from_millis(50);
+const FINAL_REPLY_GRACE: Duration = Duration::from_millis(50);
 
 /// Silence after which a caller's connection is probed, and the time between probes.
-const KEEPALIVE: Duration = Duration::from_secs(60);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Pause after a failed accept, such as when the process has too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Database name of report connections. The functions belong to the server and not to a cluster's
 /// tables, and every server has this database.
-const REPORT_CATALOG: &str = "postgres";
+const REPORT_DATABASE: &str = "postgres";
 
 /// Rows of each table in the state dump.
-const DUMP_ROWS: usize = 200;
+const DUMP_ROW_LIMIT: usize = 200;
 
 struct SessionEntry {
     session: ActorOwn<Session>,
@@ -100,10 +100,10 @@
 }
 
 /// The listening sockets and threads of a daemon.
-pub(crate) struct HubSetup {
+pub(crate) struct DriverSetup {
     pub(crate) settings: NodeSettings,
-    pub(crate) callers: TcpListener,
-    pub(crate) peers: TcpListener,
+    pub(crate) client_listener: TcpListener,
+    pub(crate) peer_listener: TcpListener,
     pub(crate) admin: AdminServer,
     pub(crate) counters: CounterSet,
     pub(crate) incarnation: u64,
@@ -111,19 +111,19 @@
 }
 
 /// Owner of the node and of all actors.
-pub(crate) struct Hub {
+pub(crate) struct IoDriver {
     node: Node,
     settings: NodeSettings,
     started: Instant,
     actions: VecDeque<NodeAction>,
-    callers: Option<MioSource<TcpListener>>,
-    peers: MioSource<TcpListener>,
+    client_listener: Option<MioSource<TcpListener>>,
+    peer_listener: MioSource<TcpListener>,
     // Dropped before the server, so that requests not yet seen end at once.
     _admin_channel: ChannelGuard,
     _admin: AdminServer,
     scratch: ScratchBuffer,
     pool: TaskPool,
-    clients: PeerClients,
+    peer_clients: PeerClients,
     call_ids: CallIds,
     /// Index of the settings' peer to ask next.
     next_peer: usize,
@@ -135,7 +135,7 @@
     held: FastMap<RunId, HeldEntry>,
     reports: FastMap<Name, (SocketAddress, ActorOwn<ReportLink>)>,
     /// Calls of peers in progress here.
-    calls: FastMap<CallId, mpsc::UnboundedSender<AnswerPart>>,
+    peer_calls: FastMap<CallId, mpsc::UnboundedSender<AnswerPart>>,
     /// Calls to peers in progress, and whether a part of the answer was relayed.
     forwards: FastMap<CallId, (CallGuard, Rc<Cell<bool>>)>,
     /// Connections that are pinned at peers.
@@ -148,19 +148,28 @@
     finished: bool,
 }
 
-impl Hub {
+impl IoDriver {
     /// Starts to serve.
-    pub(crate) fn init(cx: CX![], setup: HubSetup) -> Option<Self> {
-        let HubSetup { settings, callers, peers, mut admin, counters, incarnation, seed } = setup;
+    pub(crate) fn init(cx: CX![], setup: DriverSetup) -> Option<Self> {
+        let DriverSetup {
+            settings,
+            client_listener,
+            peer_listener,
+            mut admin,
+            counters,
+            incarnation,
+            seed,
+        } = setup;
         let poll: MioPoll = cx.anymap_get();
         let listen = |listener: TcpListener, ready: Fwd<Ready>| {
             poll.add(listener, Interest::READABLE, 10, ready)
         };
-        let sources =
-            listen(callers, fwd_to!([cx], accept_callers() as (Ready))).and_then(|callers| {
-                Ok((callers, listen(peers, fwd_to!([cx], accept_peers() as (Ready)))?))
-            });
-        let (callers, peers) = match sources {
+        let sources = listen(client_listener, fwd_to!([cx], accept_clients() as (Ready))).and_then(
+            |clients| {
+                Ok((clients, listen(peer_listener, fwd_to!([cx], accept_peers() as (Ready)))?))
+            },
+        );
+        let (client_listener, peer_listener) = match sources {
             Ok(sources) => sources,
             Err(error) => {
                 cx.fail(error);
@@ -173,18 +182,18 @@
         let pool = TaskPool::new(cx);
         after!(SWEEP_INTERVAL, [cx], sweep());
         call!([cx], begin());
-        Some(Hub {
+        Some(IoDriver {
             node: Node::new(settings.clone(), incarnation, seed),
             platform: PlatformLink::new(settings.platform_address),
             settings,
             started: cx.now(),
             actions: VecDeque::new(),
-            callers: Some(callers),
-            peers,
+            client_listener: Some(client_listener),
+            peer_listener,
             _admin: admin,
             _admin_channel: guard,
             scratch: new_scratch(),
-            clients: PeerClients::new(pool.clone()),
+            peer_clients: PeerClients::new(pool.clone()),
             pool,
             call_ids: CallIds::default(),
             next_peer: 0,
@@ -195,7 +204,7 @@
             targets: FastMap::default(),
             held: FastMap::default(),
             reports: FastMap::default(),
-            calls: FastMap::default(),
+            peer_calls: FastMap::default(),
             forwards: FastMap::default(),
             lanes: FastMap::default(),
             counters,
@@ -207,7 +216,7 @@
 
     fn begin(&mut self, cx: CX![]) {
         self.node_event(cx, NodeEvent::Timer);
-        self.find_peers(cx);
+        self.probe_configured_peers(cx);
     }
 
     fn now(&self, core: &Core) -> Micros {
@@ -222,7 +231,7 @@
         self.node.handle(now, event, &mut actions);
         self.actions.extend(actions);
         while let Some(action) = self.actions.pop_front() {
-            self.act(cx, action);
+            self.execute_action(cx, action);
         }
         self.arm_timer(cx);
     }
@@ -253,8 +262,8 @@
     }
 
     fn sweep(&mut self, cx: CX![]) {
-        self.clients.sweep(cx);
-        self.find_peers(cx);
+        self.peer_clients.sweep(cx);
+        self.probe_configured_peers(cx);
         self.counters.gauge("sessions", self.sessions.len() as u64);
         self.counters.gauge("backend_connections", self.backends.len() as u64);
         self.counters.flush();
@@ -263,7 +272,7 @@
 
     /// Sends heartbeats to the settings' peers while this node knows no live member. The member table
     /// does the rest once one has answered.
-    fn find_peers(&mut self, cx: CX![]) {
+    fn probe_configured_peers(&mut self, cx: CX![]) {
         if self.settings.peers.is_empty() {
             return;
         }
@@ -275,17 +284,18 @@
             return;
         }
         let Some(heartbeat) = self.node.heartbeat() else { return };
-        let hub = cx.this().clone();
-        for _ in 0..PEERS_ASKED.min(self.settings.peers.len()) {
+        let driver = cx.this().clone();
+        for _ in 0..PEER_PROBE_COUNT.min(self.settings.peers.len()) {
             let peer = self.settings.peers[self.next_peer % self.settings.peers.len()];
             self.next_peer += 1;
-            let done =
-                reply_to(hub.clone(), |answer| answer.ok().map(NodeEvent::HeartbeatAnswered));
-            self.clients.heartbeat(cx, peer, &heartbeat, HEARTBEAT_TIMEOUT, done);
+            let done = event_on_reply(driver.clone(), |answer| {
+                answer.ok().map(NodeEvent::HeartbeatAnswered)
+            });
+            self.peer_clients.heartbeat(cx, peer, &heartbeat, HEARTBEAT_TIMEOUT, done);
         }
     }
 
-    fn act(&mut self, cx: CX![], action: NodeAction) {
+    fn execute_action(&mut self, cx: CX![], action: NodeAction) {
         match action {
             NodeAction::AcceptSession { session, parameters } => {
                 if let Some(entry) = self.sessions.get(&session) {
@@ -296,7 +306,7 @@
                 self.close_session(cx, session, Some(error));
             }
             NodeAction::FinishRequest { session, token, notices, error, frames, transaction } => {
-                self.drop_held(AnswerTarget::Session(session));
+                self.discard_held(AnswerTarget::Session(session));
                 if let Some(entry) = self.sessions.get(&session) {
                     call!([entry.session, cx], finish(token, notices, error, frames, transaction));
                 }
@@ -313,8 +323,8 @@
                     pool: self.pool.clone(),
                     scratch: self.scratch.clone(),
                 };
-                let hub = cx.this().clone();
-                let backend = actor!(cx, Backend::init(hub, start), ret_nop!());
+                let driver = cx.this().clone();
+                let backend = actor!(cx, Backend::init(driver, start), ret_nop!());
                 self.backends.insert(connection, backend);
             }
             NodeAction::CloseBackend { connection } => {
@@ -355,10 +365,10 @@
             | NodeAction::Forward { .. }
             | NodeAction::CancelForward { .. }
             | NodeAction::AnswerForward { .. }
-            | NodeAction::DropLane { .. } => self.act_on_peer(cx, action),
+            | NodeAction::DropLane { .. } => self.execute_peer_action(cx, action),
             NodeAction::WatchPlatform(true) => {
-                let hub = cx.this().clone();
-                self.platform.start_watches(cx, &hub);
+                let driver = cx.this().clone();
+                self.platform.start_watches(cx, &driver);
             }
             NodeAction::WatchPlatform(false) => self.platform.stop_watches(),
             NodeAction::ReadRecord { cluster } => self.record(cx, RecordCall::Read { cluster }),
@@ -376,15 +386,15 @@
     }
 }
 
-/// Turns the result of a call to a peer into an event for the hub.
-fn reply_to<T: 'static>(
-    hub: Actor<Hub>,
+/// Turns the result of a call to a peer into an event for the driver.
+fn event_on_reply<T: 'static>(
+    driver: Actor<IoDriver>,
     event: impl FnOnce(Result<T, PeerCallError>) -> Option<NodeEvent> + 'static,
 ) -> impl FnOnce(Result<T, PeerCallError>) + 'static {
     move |result| {
         if let Some(event) = event(result) {
-            let deferred = hub.clone();
-            hub.defer(move |stakker| call!([deferred, stakker], node_event(event)));
+            let deferred = driver.clone();
+            driver.defer(move |stakker| call!([deferred, stakker], node_event(event)));
         }
     }
 }
@@ -394,15 +404,15 @@
 }
 
 /// Mask of the session id's part in the process number of `BackendKeyData`, which is not negative.
-const PROCESS_MASK: u64 = 0x7fff_ffff;
+const PROCESS_ID_MASK: u64 = 0x7fff_ffff;
 
-fn process_of(session: SessionId) -> i32 {
-    (session.0 & PROCESS_MASK) as i32
+fn process_id(session: SessionId) -> i32 {
+    (session.0 & PROCESS_ID_MASK) as i32
 }
 
 /// Returns the ids that a process number can stand for, the newest first.
 fn session_candidates(process: i32, next: u64) -> impl Iterator<Item = SessionId> {
-    let low = u64::from(process as u32) & PROCESS_MASK;
-    let newest = (next & !PROCESS_MASK) | low;
-    [Some(newest), newest.checked_sub(PROCESS_MASK + 1)].into_iter().flatten().map(SessionId)
+    let low = u64::from(process as u32) & PROCESS_ID_MASK;
+    let newest = (next & !PROCESS_ID_MASK) | low;
+    [Some(newest), newest.checked_sub(PROCESS_ID_MASK + 1)].into_iter().flatten().map(SessionId)
 }
--- a/crates/daemon/src/hub/backends.rs
+++ b/crates/daemon/src/driver/backends.rs
@@ -8,12 +8,12 @@
 use stakker::{Actor, CX, actor, call, ret_nop};
 use stakker_mio::mio::net::TcpStream;
 
-use super::{HeldEntry, Hub, REPORT_CATALOG, RunEntry};
+use super::{HeldEntry, IoDriver, REPORT_DATABASE, RunEntry};
 use crate::backend::HeldAnswer;
 use crate::relay::AnswerSink;
 use crate::report::{ReportLink, ReportRequest, ReportStart};
 
-impl Hub {
+impl IoDriver {
     pub(super) fn sink(&self, target: AnswerTarget) -> Option<AnswerSink> {
         match target {
             AnswerTarget::Session(session) => {
@@ -21,7 +21,7 @@
                 let session = Actor::clone(&entry.session);
                 Some(AnswerSink::Session { session, request: entry.request })
             }
-            AnswerTarget::Call(call) => self.calls.get(&call).cloned().map(AnswerSink::Call),
+            AnswerTarget::Call(call) => self.peer_calls.get(&call).cloned().map(AnswerSink::Call),
         }
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn drop_held(&mut self, target: AnswerTarget) {
+    pub(super) fn discard_held(&mut self, target: AnswerTarget) {
         if !self.held.is_empty() {
             self.held.retain(|_, entry| entry.target != target);
         }
@@ -160,11 +160,11 @@
                 database: database.clone(),
                 address,
                 user: self.settings.database_user.to_string(),
-                catalog: REPORT_CATALOG.to_owned(),
+                catalog: REPORT_DATABASE.to_owned(),
                 scratch: self.scratch.clone(),
             };
-            let hub = cx.this().clone();
-            let link = actor!(cx, ReportLink::init(hub, start), ret_nop!());
+            let driver = cx.this().clone();
+            let link = actor!(cx, ReportLink::init(driver, start), ret_nop!());
             self.reports.insert(database.clone(), (address, link));
         }
         if let Some((_, link)) = self.reports.get(&database) {
--- a/crates/daemon/src/hub/callers.rs
+++ b/crates/daemon/src/driver/clients.rs
@@ -10,26 +10,26 @@
 use stakker_mio::mio::net::TcpStream;
 
 use super::{
-    ACCEPT_PAUSE, Hub, KEEPALIVE, KEEPALIVE_INTERVAL, REFUSED_LIMIT, SessionEntry, is_transient,
-    process_of, session_candidates,
+    ACCEPT_BACKOFF, IoDriver, KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, REFUSED_CONNECTION_LIMIT,
+    SessionEntry, is_transient, process_id, session_candidates,
 };
 use crate::session::{Session, SessionSetup};
 
-impl Hub {
-    pub(super) fn accept_callers(&mut self, cx: CX![], _: Ready) {
-        self.accept_waiting_callers(cx);
+impl IoDriver {
+    pub(super) fn accept_clients(&mut self, cx: CX![], _: Ready) {
+        self.accept_pending_clients(cx);
     }
 
-    pub(super) fn accept_waiting_callers(&mut self, cx: CX![]) {
+    pub(super) fn accept_pending_clients(&mut self, cx: CX![]) {
         loop {
-            let Some(listener) = &self.callers else { return };
+            let Some(listener) = &self.client_listener else { return };
             match listener.accept() {
                 Ok((stream, address)) => self.add_session(cx, stream, address),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
                     log::warn!("failed to accept a caller error={error}");
-                    after!(ACCEPT_PAUSE, [cx], accept_waiting_callers());
+                    after!(ACCEPT_BACKOFF, [cx], accept_pending_clients());
                     return;
                 }
             }
@@ -38,7 +38,7 @@
 
     pub(super) fn add_session(&mut self, cx: CX![], stream: TcpStream, address: SocketAddress) {
         let limit = self.settings.caller_limit as usize;
-        if self.sessions.len() >= limit + REFUSED_LIMIT {
+        if self.sessions.len() >= limit + REFUSED_CONNECTION_LIMIT {
             self.counters.add("sessions.refused", 1);
             return;
         }
@@ -49,8 +49,9 @@
         }
         let secret = i32::from_be_bytes(secret);
         // Finds callers whose VM vanished without closing the connection.
-        let keepalive =
-            socket2::TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE_INTERVAL);
+        let keepalive = socket2::TcpKeepalive::new()
+            .with_time(KEEPALIVE_IDLE)
+            .with_interval(KEEPALIVE_INTERVAL);
         if let Err(error) = socket2::SockRef::from(&stream).set_tcp_keepalive(&keepalive) {
             log::debug!("failed to set keepalive address={address} error={error}");
         }
@@ -61,14 +62,14 @@
             id,
             stream,
             address: address.ip().to_string().into(),
-            process: process_of(id),
+            process: process_id(id),
             secret,
             request_limit: self.settings.request_limit_bytes as usize,
             refused: self.sessions.len() >= limit,
             scratch: self.scratch.clone(),
         };
-        let hub = cx.this().clone();
-        let session = actor!(cx, Session::init(hub, setup), ret_nop!());
+        let driver = cx.this().clone();
+        let session = actor!(cx, Session::init(driver, setup), ret_nop!());
         self.sessions.insert(id, SessionEntry { session, secret, request: 0 });
     }
 
@@ -104,7 +105,7 @@
     pub(crate) fn session_ended(&mut self, cx: CX![], session: SessionId) {
         if self.sessions.remove(&session).is_some() {
             self.counters.add("sessions.closed", 1);
-            self.drop_held(AnswerTarget::Session(session));
+            self.discard_held(AnswerTarget::Session(session));
             self.node_event(cx, NodeEvent::SessionClosed { session });
             self.finish_if_empty(cx);
         }
@@ -116,7 +117,7 @@
         session: SessionId,
         error: Option<node::ErrorReply>,
     ) {
-        self.drop_held(AnswerTarget::Session(session));
+        self.discard_held(AnswerTarget::Session(session));
         if let Some(entry) = self.sessions.get(&session) {
             call!([entry.session, cx], close(error));
         }
--- a/crates/daemon/src/hub/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -6,14 +6,14 @@
 use serde_json::json;
 use stakker::{Actor, CX, StopCause, after, call};
 
-use super::{DRAIN_GRACE, DUMP_ROWS, Hub, LAST_FLUSH, LAST_REPLY};
+use super::{DRAIN_GRACE, DUMP_ROW_LIMIT, FINAL_FLUSH_TIMEOUT, FINAL_REPLY_GRACE, IoDriver};
 use crate::admin::{AdminCall, AdminRequest};
 use crate::platform_link::RecordCall;
 
-impl Hub {
+impl IoDriver {
     pub(super) fn record(&mut self, cx: CX![], request: RecordCall) {
-        let hub = cx.this().clone();
-        if let Err(cluster) = self.platform.record(cx, &hub, request) {
+        let driver = cx.this().clone();
+        if let Err(cluster) = self.platform.record(cx, &driver, request) {
             let event = NodeEvent::PlatformAnswered(node::PlatformAnswer::RecordFailed { cluster });
             call!([cx], node_event(event));
         }
@@ -57,7 +57,7 @@
     /// Collects the descriptions of other actors, then answers.
     pub(super) fn dump(&mut self, cx: CX![], reply: std::sync::mpsc::Sender<serde_json::Value>) {
         let rows = std::rc::Rc::new(std::cell::RefCell::new((Vec::new(), Vec::new())));
-        for entry in self.sessions.values().take(DUMP_ROWS) {
+        for entry in self.sessions.values().take(DUMP_ROW_LIMIT) {
             let session = Actor::clone(&entry.session);
             let rows = rows.clone();
             cx.defer(move |stakker| {
@@ -66,7 +66,7 @@
                 }
             });
         }
-        for backend in self.backends.values().take(DUMP_ROWS) {
+        for backend in self.backends.values().take(DUMP_ROW_LIMIT) {
             let backend = Actor::clone(backend);
             let rows = rows.clone();
             cx.defer(move |stakker| {
@@ -85,9 +85,9 @@
             "held_answers": self.held.len(),
             "held_bytes": self.held.values().map(|entry| entry.answer.bytes.len()).sum::<usize>(),
             "report_connections": self.reports.len(),
-            "peer_connections": self.clients.connection_count(),
+            "peer_connections": self.peer_clients.connection_count(),
             "peer_tasks": self.pool.len(),
-            "calls_received": self.calls.len(),
+            "calls_received": self.peer_calls.len(),
             "calls_sent": self.forwards.len(),
             "lanes": self.lanes.len(),
             "platform_watches": self.platform.watch_count(),
@@ -126,12 +126,12 @@
     pub(super) fn shutdown_complete(&mut self, cx: CX![]) {
         self.finished = true;
         // Closes the port, so that new callers go to another node.
-        self.callers = None;
-        after!(LAST_FLUSH, [cx], last_flush_over());
+        self.client_listener = None;
+        after!(FINAL_FLUSH_TIMEOUT, [cx], final_flush_timed_out());
         call!([cx], finish_if_empty());
     }
 
-    pub(super) fn last_flush_over(&mut self, cx: CX![]) {
+    pub(super) fn final_flush_timed_out(&mut self, cx: CX![]) {
         cx.shutdown(StopCause::Stopped);
     }
 
@@ -139,7 +139,7 @@
         if self.finished && self.sessions.is_empty() && self.call_ids.unfinished() == 0 {
             self.counters.flush();
             // The last message of an answer to a peer may not be written yet.
-            after!(LAST_REPLY, [cx], last_flush_over());
+            after!(FINAL_REPLY_GRACE, [cx], final_flush_timed_out());
         }
     }
 }
--- a/crates/daemon/src/hub/peers.rs
+++ b/crates/daemon/src/driver/peers.rs
@@ -14,18 +14,18 @@
 use stakker_mio::{MioPoll, Ready};
 
 use super::{
-    ACCEPT_PAUSE, FORWARD_GRACE, HEARTBEAT_TIMEOUT, Hub, PULL_TIMEOUT, VIEW_TIMEOUT, is_transient,
-    reply_to,
+    ACCEPT_BACKOFF, FORWARD_GRACE, HEARTBEAT_TIMEOUT, IoDriver, PULL_TIMEOUT, VIEW_TIMEOUT,
+    event_on_reply, is_transient,
 };
 
-impl Hub {
+impl IoDriver {
     pub(super) fn accept_peers(&mut self, cx: CX![], _: Ready) {
-        self.accept_waiting_peers(cx);
+        self.accept_pending_peers(cx);
     }
 
-    pub(super) fn accept_waiting_peers(&mut self, cx: CX![]) {
+    pub(super) fn accept_pending_peers(&mut self, cx: CX![]) {
         loop {
-            match self.peers.accept() {
+            match self.peer_listener.accept() {
                 Ok((stream, address)) => {
                     let poll: MioPoll = cx.anymap_get();
                     match RpcStream::new(&poll, stream) {
@@ -42,45 +42,46 @@
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
                     log::warn!("failed to accept a peer error={error}");
-                    after!(ACCEPT_PAUSE, [cx], accept_waiting_peers());
+                    after!(ACCEPT_BACKOFF, [cx], accept_pending_peers());
                     return;
                 }
             }
         }
     }
 
-    pub(super) fn act_on_peer(&mut self, cx: CX![], action: NodeAction) {
-        let hub = cx.this().clone();
+    pub(super) fn execute_peer_action(&mut self, cx: CX![], action: NodeAction) {
+        let driver = cx.this().clone();
         match action {
             NodeAction::SendHeartbeat { to, heartbeat } => {
                 let name = to.name;
                 let address = to.peer_address;
-                let done = reply_to(hub, move |answer| match answer {
+                let done = event_on_reply(driver, move |answer| match answer {
                     Ok(heartbeat) => Some(NodeEvent::HeartbeatAnswered(heartbeat)),
                     Err(_) => Some(NodeEvent::HeartbeatFailed { to: name }),
                 });
-                self.clients.heartbeat(cx, address, &heartbeat, HEARTBEAT_TIMEOUT, done);
+                self.peer_clients.heartbeat(cx, address, &heartbeat, HEARTBEAT_TIMEOUT, done);
             }
             NodeAction::PullTable { from } => {
-                let done =
-                    reply_to(hub, |table: Result<_, _>| table.ok().map(NodeEvent::TableArrived));
-                self.clients.pull_table(cx, from.peer_address, PULL_TIMEOUT, done);
+                let done = event_on_reply(driver, |table: Result<_, _>| {
+                    table.ok().map(NodeEvent::TableArrived)
+                });
+                self.peer_clients.pull_table(cx, from.peer_address, PULL_TIMEOUT, done);
             }
             NodeAction::PullDocument { from, document } => {
                 let name = document.clone();
-                let done = reply_to(hub, move |pulled: Result<Option<_>, _>| {
+                let done = event_on_reply(driver, move |pulled: Result<Option<_>, _>| {
                     let (revision, bytes) = pulled.ok()??;
                     Some(NodeEvent::DocumentArrived { document, revision, bytes })
                 });
-                self.clients.pull_document(cx, from.peer_address, &name, PULL_TIMEOUT, done);
+                self.peer_clients.pull_document(cx, from.peer_address, &name, PULL_TIMEOUT, done);
             }
             NodeAction::AskView { to, cluster } => {
                 let name = cluster.clone();
                 let from = to.name;
-                let done = reply_to(hub, move |view: Result<Option<_>, _>| {
+                let done = event_on_reply(driver, move |view: Result<Option<_>, _>| {
                     Some(NodeEvent::ViewAnswered { cluster, from, view: view.unwrap_or(None) })
                 });
-                self.clients.view(cx, to.peer_address, &name, VIEW_TIMEOUT, done);
+                self.peer_clients.view(cx, to.peer_address, &name, VIEW_TIMEOUT, done);
             }
             NodeAction::Forward { call, session, to, lane, work } => {
                 self.forward(cx, call, session, to.peer_address, lane, &work);
@@ -91,8 +92,8 @@
                 }
             }
             NodeAction::AnswerForward { call, reply, lane } => {
-                self.drop_held(AnswerTarget::Call(call));
-                if let Some(answers) = self.calls.remove(&call) {
+                self.discard_held(AnswerTarget::Call(call));
+                if let Some(answers) = self.peer_calls.remove(&call) {
                     // Fails if the peer gave up, which the node learns on its own.
                     let _ = answers.unbounded_send(AnswerPart::End(reply, lane));
                 }
@@ -123,10 +124,10 @@
                 deferrer.defer(move |stakker| sink.send(stakker, bytes, permit));
             }
         };
-        let hub = cx.this().clone();
+        let driver = cx.this().clone();
         let done = move |result: Result<ForwardReply, PeerCallError>| {
-            let deferred = hub.clone();
-            hub.defer(move |stakker| {
+            let deferred = driver.clone();
+            driver.defer(move |stakker| {
                 call!([deferred, stakker], forward_answered(call, lane, result))
             });
         };
@@ -134,10 +135,12 @@
         let guard = match lane {
             None => {
                 let name = self.settings.name.clone();
-                self.clients.execute(cx, address, &name, work, timeout, chunks, done)
+                self.peer_clients.execute(cx, address, &name, work, timeout, chunks, done)
             }
             Some(lane) => match self.lanes.get(&lane) {
-                Some(lane) => self.clients.execute_on_lane(cx, lane, work, timeout, chunks, done),
+                Some(lane) => {
+                    self.peer_clients.execute_on_lane(cx, lane, work, timeout, chunks, done)
+                }
                 None => {
                     let event = NodeEvent::ForwardFailed { call, sent: false };
                     call!([cx], node_event(event));
@@ -209,17 +212,17 @@
                 let _ = reply.send(self.node.view(self.now(cx), &cluster));
             }
             PeerRequest::Execute { call, from, lane, work, answers } => {
-                self.calls.insert(call, answers);
+                self.peer_calls.insert(call, answers);
                 self.node_event(cx, NodeEvent::ForwardArrived { call, from, lane, work });
             }
             PeerRequest::Cancelled { call } => {
-                if self.calls.contains_key(&call) {
+                if self.peer_calls.contains_key(&call) {
                     self.node_event(cx, NodeEvent::ForwardCancelled { call });
                 }
             }
             PeerRequest::Dropped { call } => {
-                if self.calls.remove(&call).is_some() {
-                    self.drop_held(AnswerTarget::Call(call));
+                if self.peer_calls.remove(&call).is_some() {
+                    self.discard_held(AnswerTarget::Call(call));
                     self.node_event(cx, NodeEvent::ForwardCancelled { call });
                 }
             }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
 //! `cicadawickd`: the shell that feeds a node from sockets and timers.
 //!
-//! One thread runs a stakker loop. The hub actor owns the [`node::Node`], passes it events and carries
+//! One thread runs a stakker loop. The driver actor owns the [`node::Node`], passes it events and carries
 //! out its actions. Session and backend actors own the sockets and exchange the parts of answers
 //! directly, each with a permit that bounds what is buffered. Blocking work, which is calls to the
 //! platform and the operators' HTTP interface, has threads of its own that talk to the loop through
@@ -21,8 +21,8 @@
 mod backend;
 mod cancel;
 mod counters;
+mod driver;
 mod handshake;
-mod hub;
 mod logging;
 mod platform_link;
 mod relay;
@@ -32,7 +32,7 @@
 
 use admin::AdminServer;
 use counters::CounterSet;
-use hub::{Hub, HubSetup};
+use driver::{DriverSetup, IoDriver};
 
 pub use logging::start_logging;
 
@@ -97,8 +97,8 @@
 ///
 /// Fails if an address cannot be bound or the loop cannot be set up.
 pub fn run(mut settings: NodeSettings, options: RunOptions) -> Result<(), DaemonError> {
-    let callers = listen("caller_address", &mut settings.caller_address)?;
-    let peers = listen("peer_address", &mut settings.peer_address)?;
+    let client_listener = listen("caller_address", &mut settings.caller_address)?;
+    let peer_listener = listen("peer_address", &mut settings.peer_address)?;
     let admin = AdminServer::bind(settings.admin_address).map_err(|error| {
         let source = match error.downcast::<std::io::Error>() {
             Ok(error) => *error,
@@ -117,10 +117,10 @@
     let counters = CounterSet::new(settings.metrics_address)?;
     let mut seed = [0; 8];
     getrandom::fill(&mut seed).map_err(DaemonError::Random)?;
-    let setup = HubSetup {
+    let setup = DriverSetup {
         settings,
-        callers,
-        peers,
+        client_listener,
+        peer_listener,
         admin,
         counters,
         incarnation: shell::process_number(),
@@ -130,13 +130,13 @@
     let mut stakker = Stakker::new(Instant::now());
     let stakker = &mut stakker;
     let poll = shell::new_poll(stakker)?;
-    let hub: ActorOwn<Hub> = actor!(stakker, Hub::init(setup), ret_shutdown!(stakker));
+    let driver: ActorOwn<IoDriver> = actor!(stakker, IoDriver::init(setup), ret_shutdown!(stakker));
 
-    let stop_hub = hub.clone();
+    let stop_driver = driver.clone();
     let stop = stakker::Fwd::new(move |()| {
-        let hub = stop_hub.clone();
-        let deferred = hub.clone();
-        hub.defer(move |stakker| call!([deferred, stakker], drain()));
+        let driver = stop_driver.clone();
+        let deferred = driver.clone();
+        driver.defer(move |stakker| call!([deferred, stakker], drain()));
     });
     let (channel, _stop_guard) = Channel::new(stakker, stop);
     let _signals = match options.handle_signals {
@@ -151,7 +151,7 @@
             call(ready, StopHandle { channel });
         }
     }
-    match shell::run_loop(stakker, &poll, hub, idle_pending)? {
+    match shell::run_loop(stakker, &poll, driver, idle_pending)? {
         None => {
             log::info!("stopped");
             Ok(())
--- a/crates/daemon/src/platform_link.rs
+++ b/crates/daemon/src/platform_link.rs
@@ -12,7 +12,7 @@
 use platform::{PlatformClient, PlatformError};
 use stakker::{Actor, Core, Fwd, PipedLink, PipedThread, call};
 
-use crate::hub::Hub;
+use crate::driver::IoDriver;
 
 /// Keys of the watched documents; the document's name is the last part.
 const DOCUMENT_KEYS: [(&str, &str); 2] =
@@ -56,13 +56,13 @@
     }
 
     /// Starts the watches if they are not running.
-    pub(crate) fn start_watches(&mut self, core: &mut Core, hub: &Actor<Hub>) {
+    pub(crate) fn start_watches(&mut self, core: &mut Core, driver: &Actor<IoDriver>) {
         if !self.watches.is_empty() {
             return;
         }
         for (document, key) in DOCUMENT_KEYS {
             let client = PlatformClient::new(self.address, CALL_TIMEOUT);
-            self.watches.push(spawn(core, hub, move |link| {
+            self.watches.push(spawn(core, driver, move |link| {
                 let mut index = 0;
                 watch(link, || {
                     let (value, next) = client.watch(key, index, WATCH_WAIT)?;
@@ -76,7 +76,7 @@
             }));
         }
         let client = PlatformClient::new(self.address, CALL_TIMEOUT);
-        self.watches.push(spawn(core, hub, move |link| {
+        self.watches.push(spawn(core, driver, move |link| {
             let mut index = 0;
             watch(link, || {
                 let (vms, next) = client.watch_vms(index, WATCH_WAIT)?;
@@ -103,7 +103,7 @@
     pub(crate) fn record(
         &mut self,
         core: &mut Core,
-        hub: &Actor<Hub>,
+        driver: &Actor<IoDriver>,
         request: RecordCall,
     ) -> Result<(), Name> {
         if self.waiting >= RECORD_CALL_LIMIT {
@@ -113,11 +113,11 @@
         self.waiting += 1;
         let address = self.address;
         let records = self.records.get_or_insert_with(|| {
-            let hub = hub.clone();
+            let driver = driver.clone();
             let answered = Fwd::new(move |answer| {
-                let hub = hub.clone();
-                let deferred = hub.clone();
-                hub.defer(move |stakker| call!([deferred, stakker], record_answered(answer)));
+                let driver = driver.clone();
+                let deferred = driver.clone();
+                driver.defer(move |stakker| call!([deferred, stakker], record_answered(answer)));
             });
             PipedThread::spawn(answered, log_end(), core, move |link| {
                 let client = PlatformClient::new(address, CALL_TIMEOUT);
@@ -148,14 +148,14 @@
 
 fn spawn(
     core: &mut Core,
-    hub: &Actor<Hub>,
+    driver: &Actor<IoDriver>,
     run: impl FnOnce(&mut PipedLink<(), PlatformAnswer>) + Send + 'static,
 ) -> PipedThread<(), PlatformAnswer> {
-    let hub = hub.clone();
+    let driver = driver.clone();
     let answered = Fwd::new(move |answer| {
-        let hub = hub.clone();
-        let deferred = hub.clone();
-        hub.defer(move |stakker| call!([deferred, stakker], platform_answered(answer)));
+        let driver = driver.clone();
+        let deferred = driver.clone();
+        driver.defer(move |stakker| call!([deferred, stakker], platform_answered(answer)));
     });
     PipedThread::spawn(answered, log_end(), core, run)
 }
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -16,8 +16,8 @@
 use stakker_mio::mio::net::TcpStream;
 use stakker_mio::{MioPoll, Ready};
 
+use crate::driver::IoDriver;
 use crate::handshake::{SERVER_MESSAGE_LIMIT, ServerHandshake, startup_packet};
-use crate::hub::Hub;
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
 /// Time for a request, the opening of the connection included. Shorter than a promotion's step, so
@@ -125,7 +125,7 @@
 pub(crate) struct ReportLink {
     database: Name,
     address: SocketAddress,
-    hub: Actor<Hub>,
+    driver: Actor<IoDriver>,
     socket: BufferedSocket,
     /// `None` once the connection is ready.
     handshake: Option<ServerHandshake>,
@@ -137,14 +137,14 @@
 
 impl ReportLink {
     /// Begins to open a connection.
-    pub(crate) fn init(cx: CX![], hub: Actor<Hub>, start: ReportStart) -> Option<Self> {
+    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, start: ReportStart) -> Option<Self> {
         let ReportStart { stream, database, address, user, catalog, scratch } = start;
         let poll: MioPoll = cx.anymap_get();
         let ready = fwd_to!([cx], ready() as (Ready));
         let mut socket = match BufferedSocket::new(&poll, stream, scratch, ready) {
             Ok(socket) => socket,
             Err(error) => {
-                call!([hub, cx], report_link_lost(database, Vec::new(), error.to_string()));
+                call!([driver, cx], report_link_lost(database, Vec::new(), error.to_string()));
                 return None;
             }
         };
@@ -152,7 +152,7 @@
         Some(ReportLink {
             database,
             address,
-            hub,
+            driver,
             socket,
             handshake: Some(ServerHandshake::default()),
             waiting: VecDeque::new(),
@@ -165,7 +165,7 @@
     /// Sends a request.
     pub(crate) fn ask(&mut self, cx: CX![], id: ReportId, request: ReportRequest) {
         if self.failed || self.waiting.len() >= REQUEST_LIMIT {
-            call!([self.hub, cx], node_event(NodeEvent::ReportFailed { id }));
+            call!([self.driver, cx], node_event(NodeEvent::ReportFailed { id }));
             return;
         }
         if self.handshake.is_none() {
@@ -210,8 +210,8 @@
         if !self.failed {
             self.failed = true;
             let ids: Vec<ReportId> = self.waiting.drain(..).map(|waiting| waiting.id).collect();
-            // The hub drops this actor. Until then it refuses requests, so that each is answered.
-            call!([self.hub, cx], report_link_lost(self.database.clone(), ids, message));
+            // The driver drops this actor. Until then it refuses requests, so that each is answered.
+            call!([self.driver, cx], report_link_lost(self.database.clone(), ids, message));
         }
     }
 
@@ -284,7 +284,7 @@
                     }
                 };
                 if let Some(event) = event {
-                    call!([self.hub, cx], node_event(event));
+                    call!([self.driver, cx], node_event(event));
                 }
             }
             _ => {}
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -18,7 +18,7 @@
 use stakker_mio::mio::net::TcpStream;
 use stakker_mio::{MioPoll, Ready};
 
-use crate::hub::Hub;
+use crate::driver::IoDriver;
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
 /// Bytes of pipelined requests that are read while a request is in progress.
@@ -72,7 +72,7 @@
 /// A caller's connection.
 pub(crate) struct Session {
     id: SessionId,
-    hub: Actor<Hub>,
+    driver: Actor<IoDriver>,
     socket: BufferedSocket,
     state: SessionState,
     address: Name,
@@ -101,7 +101,7 @@
 
 impl Session {
     /// Starts to serve a caller.
-    pub(crate) fn init(cx: CX![], hub: Actor<Hub>, setup: SessionSetup) -> Option<Self> {
+    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: SessionSetup) -> Option<Self> {
         let SessionSetup { id, stream, address, process, secret, request_limit, refused, scratch } =
             setup;
         let poll: MioPoll = cx.anymap_get();
@@ -110,7 +110,7 @@
             Ok(socket) => socket,
             Err(error) => {
                 log::warn!("failed to register a caller's socket address={address} error={error}");
-                call!([hub, cx], session_ended(id));
+                call!([driver, cx], session_ended(id));
                 return None;
             }
         };
@@ -118,7 +118,7 @@
         call!([cx], read());
         Some(Session {
             id,
-            hub,
+            driver,
             socket,
             state: SessionState::Starting,
             address,
@@ -154,12 +154,12 @@
         self.read(cx);
     }
 
-    /// Reports the end once; the hub then drops this actor.
+    /// Reports the end once; the driver then drops this actor.
     fn end(&mut self, cx: CX![]) {
         if !self.ended {
             self.ended = true;
             self.state = SessionState::Closing;
-            call!([self.hub, cx], session_ended(self.id));
+            call!([self.driver, cx], session_ended(self.id));
         }
     }
 
@@ -243,7 +243,7 @@
                 true
             }
             Ok(Some(FirstPacket::Cancel { process, secret })) => {
-                call!([self.hub, cx], cancel_arrived(process, secret));
+                call!([self.driver, cx], cancel_arrived(process, secret));
                 self.end(cx);
                 false
             }
@@ -306,7 +306,7 @@
             self.push(cx, output.freeze(), ChunkPermit::free());
         }
         self.state = SessionState::Opening;
-        call!([self.hub, cx], node_event(NodeEvent::SessionOpened { session: self.id, start }));
+        call!([self.driver, cx], node_event(NodeEvent::SessionOpened { session: self.id, start }));
     }
 
     /// Handles the next message; returns whether there may be another one to handle.
@@ -407,7 +407,7 @@
         self.request += 1;
         self.failed = false;
         let request = CallerRequest { kind, text, frames };
-        call!([self.hub, cx], request_arrived(self.id, self.request, request));
+        call!([self.driver, cx], request_arrived(self.id, self.request, request));
     }
 
     fn ready_for_query(&mut self, cx: CX![]) {
