--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -112,7 +112,7 @@
         .filter(|pair| !pair.is_empty())
         .map(|pair| {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            (decode(name), decode(value))
+            (percent_decode(name), percent_decode(value))
         })
         .collect();
     let get =
@@ -125,7 +125,7 @@
         "/v1/drain" => (tiny_http::Method::Post, AdminCall::Drain),
         "/v1/top" => {
             let measure = parse_measure(get("measure").unwrap_or("requests"))
-                .ok_or_else(|| bad("measure", MEASURES))?;
+                .ok_or_else(|| bad("measure", MEASURE_NAMES))?;
             let rows = match get("rows") {
                 None => DEFAULT_ROWS,
                 Some(rows) => rows
@@ -167,7 +167,7 @@
     Ok(call)
 }
 
-const MEASURES: &str =
+const MEASURE_NAMES: &str =
     "requests, slot_time, refused, replica_declined, repeated_keys or outcome_unknown";
 
 fn parse_measure(name: &str) -> Option<CallerMeasure> {
@@ -175,7 +175,7 @@
 }
 
 /// Decodes `+` and `%XX`; what is not a valid escape stays as it is.
-fn decode(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, tail)) = rest.split_first() {
--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -24,19 +24,19 @@
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
 /// Bytes of an answer that are held back at most.
-pub(crate) const HELD_BYTES: usize = 256 * 1024;
+pub(crate) const HELD_LIMIT_BYTES: usize = 256 * 1024;
 
 /// Prepared statements of one connection.
 const STATEMENT_LIMIT: usize = 256;
 
 /// Bytes that one read takes, so that one connection does not keep the loop.
-const READ_BYTES: usize = 128 * 1024;
+const READ_LIMIT_BYTES: usize = 128 * 1024;
 
 /// Time to open a connection.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What opening a connection needs.
-pub(crate) struct BackendStart {
+pub(crate) struct BackendSetup {
     pub(crate) id: ConnectionId,
     pub(crate) address: SocketAddress,
     pub(crate) user: String,
@@ -66,22 +66,22 @@
     Relay,
 }
 
-struct ActiveRun {
-    run: RunId,
+struct ActiveExchange {
+    id: RunId,
     policy: OutputPolicy,
-    collect: bool,
+    collect_first_row: bool,
     sink: Option<AnswerSink>,
     held: BytesMut,
-    started: bool,
+    output_started: bool,
     summary: RunSummary,
     /// Bytes of a large frame that are still to be passed on.
-    passing: usize,
+    large_frame_left: usize,
     /// The backend server began a COPY, which is refused.
     copy_refused: bool,
     /// The run uses the extended protocol.
     extended: bool,
     /// A statement of the run is complete.
-    completed: bool,
+    statement_completed: bool,
 }
 
 /// State of the cancel request for the active run. A late one would hit the next run, so the end of
@@ -97,13 +97,13 @@
 enum BackendState {
     Opening(ServerHandshake),
     Idle,
-    Running(Box<ActiveRun>),
+    Running(Box<ActiveExchange>),
     /// The answer is complete, a cancel request is under way.
-    Ending(Box<ActiveRun>),
+    Ending(Box<ActiveExchange>),
 }
 
 /// A connection to a backend server.
-pub(crate) struct Backend {
+pub(crate) struct BackendConnection {
     id: ConnectionId,
     address: SocketAddress,
     driver: Actor<IoDriver>,
@@ -112,16 +112,16 @@
     statements: ConnectionStatements,
     window: Rc<RelayWindow>,
     pool: TaskPool,
-    process: i32,
+    process_id: i32,
     secret: Vec<u8>,
     cancel: CancelState,
-    lost: bool,
+    ended: bool,
 }
 
-impl Backend {
+impl BackendConnection {
     /// Begins to open a connection.
-    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, start: BackendStart) -> Option<Self> {
-        let BackendStart { id, address, user, catalog, pool, scratch } = start;
+    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: BackendSetup) -> Option<Self> {
+        let BackendSetup { id, address, user, catalog, pool, scratch } = setup;
         let poll: MioPoll = cx.anymap_get();
         let ready = fwd_to!([cx], ready() as (Ready));
         let socket = TcpStream::connect(rpc::dial_address(address))
@@ -136,8 +136,8 @@
         };
         socket.push(startup_packet(&user, &catalog), rpc::ChunkPermit::free());
         let window = RelayWindow::new(fwd_to!([cx], resume() as ()));
-        after!(OPEN_TIMEOUT, [cx], check_opened());
-        Some(Backend {
+        after!(OPEN_TIMEOUT, [cx], check_open_timeout());
+        Some(BackendConnection {
             id,
             address,
             driver,
@@ -146,16 +146,16 @@
             statements: ConnectionStatements::new(STATEMENT_LIMIT),
             window,
             pool,
-            process: 0,
+            process_id: 0,
             secret: Vec::new(),
             cancel: CancelState::None,
-            lost: false,
+            ended: false,
         })
     }
 
-    fn check_opened(&mut self, cx: CX![]) {
+    fn check_open_timeout(&mut self, cx: CX![]) {
         if matches!(self.state, BackendState::Opening(_)) {
-            self.lose(cx, format!("no connection to {} in time", self.address));
+            self.report_loss(cx, format!("no connection to {} in time", self.address));
         }
     }
 
@@ -171,17 +171,17 @@
     }
 
     fn flush(&mut self, cx: CX![]) {
-        if !self.lost
+        if !self.ended
             && let Err(error) = self.socket.flush()
         {
-            self.lose(cx, format!("lost the connection to {}: {error}", self.address));
+            self.report_loss(cx, format!("lost the connection to {}: {error}", self.address));
         }
     }
 
     /// Reports the loss once; the driver then drops this actor.
-    fn lose(&mut self, cx: CX![], message: String) {
-        if !self.lost {
-            self.lost = true;
+    fn report_loss(&mut self, cx: CX![], message: String) {
+        if !self.ended {
+            self.ended = true;
             call!([self.driver, cx], backend_lost(self.id, message));
         }
     }
@@ -189,7 +189,7 @@
     fn is_paused(&self) -> bool {
         let undecided = match &self.state {
             BackendState::Running(active) => {
-                active.policy == OutputPolicy::Undecided && active.held.len() >= HELD_BYTES
+                active.policy == OutputPolicy::Undecided && active.held.len() >= HELD_LIMIT_BYTES
             }
             _ => false,
         };
@@ -197,27 +197,27 @@
     }
 
     fn read(&mut self, cx: CX![]) {
-        if self.lost || self.is_paused() {
+        if self.ended || self.is_paused() {
             return;
         }
         // A frame that is read whole may need more than one read.
-        let limit = self.socket.input.len() + READ_BYTES;
+        let limit = self.socket.input.len() + READ_LIMIT_BYTES;
         let outcome = self.socket.fill(limit);
         if let Err(message) = self.process(cx) {
-            self.lose(cx, message);
+            self.report_loss(cx, message);
             return;
         }
         match outcome {
             ReadOutcome::Open => {
-                if self.socket.has_more() && !self.lost {
+                if self.socket.has_more() && !self.ended {
                     call!([cx], resume());
                 }
             }
             ReadOutcome::Ended => {
-                self.lose(cx, format!("{} closed the connection", self.address));
+                self.report_loss(cx, format!("{} closed the connection", self.address));
             }
             ReadOutcome::Failed(error) => {
-                self.lose(cx, format!("lost the connection to {}: {error}", self.address));
+                self.report_loss(cx, format!("lost the connection to {}: {error}", self.address));
             }
         }
     }
@@ -226,16 +226,16 @@
         loop {
             match &mut self.state {
                 BackendState::Opening(handshake) => {
-                    let Some(frame) = split(&mut self.socket.input)? else { break };
+                    let Some(frame) = split_frame(&mut self.socket.input)? else { break };
                     if handshake.message(&frame)? {
-                        self.process = handshake.process;
+                        self.process_id = handshake.process_id;
                         self.secret = std::mem::take(&mut handshake.secret);
                         self.state = BackendState::Idle;
                         call!([self.driver, cx], backend_opened(self.id));
                     }
                 }
                 BackendState::Idle | BackendState::Ending(_) => {
-                    let Some(frame) = split(&mut self.socket.input)? else { break };
+                    let Some(frame) = split_frame(&mut self.socket.input)? else { break };
                     if frame.kind == kind::ERROR {
                         let error = pg::read_error(frame.body()).map(|error| error.message);
                         let message = error.unwrap_or_else(|error| error.to_string());
@@ -257,39 +257,39 @@
     fn process_answer(&mut self, cx: CX![]) -> Result<bool, String> {
         let BackendState::Running(active) = &mut self.state else { return Ok(false) };
         let input = &mut self.socket.input;
-        if active.passing > 0 {
-            let bytes = input.split_to(active.passing.min(input.len())).freeze();
+        if active.large_frame_left > 0 {
+            let bytes = input.split_to(active.large_frame_left.min(input.len())).freeze();
             if bytes.is_empty() {
                 return Ok(false);
             }
-            active.passing -= bytes.len();
+            active.large_frame_left -= bytes.len();
             self.emit(cx, bytes)?;
             return Ok(true);
         }
         // Joins whole frames that need no look into one part.
-        let mut plain = 0;
+        let mut passthrough = 0;
         while let Some((next, length)) =
-            pg::peek_header(&input[plain..]).map_err(|error| error.to_string())?
+            pg::peek_header(&input[passthrough..]).map_err(|error| error.to_string())?
         {
-            if !is_plain(next, active) || input.len() - plain < length {
+            if !is_passthrough(next, active) || input.len() - passthrough < length {
                 break;
             }
-            plain += length;
+            passthrough += length;
         }
-        if plain > 0 {
-            let bytes = input.split_to(plain).freeze();
+        if passthrough > 0 {
+            let bytes = input.split_to(passthrough).freeze();
             self.emit(cx, bytes)?;
             return Ok(true);
         }
         let header = pg::peek_header(input).map_err(|error| error.to_string())?;
         if let Some((next, length)) = header
-            && is_plain(next, active)
+            && is_passthrough(next, active)
             && length > rpc::CHUNK_BYTES
         {
-            active.passing = length;
+            active.large_frame_left = length;
             return Ok(true);
         }
-        let Some(frame) = split(input)? else { return Ok(false) };
+        let Some(frame) = split_frame(input)? else { return Ok(false) };
         self.answer_frame(cx, frame)?;
         Ok(true)
     }
@@ -304,7 +304,7 @@
                 }
             }
             kind::DATA_ROW => {
-                if active.collect && active.summary.first_row.is_empty() {
+                if active.collect_first_row && active.summary.first_row.is_empty() {
                     active.summary.first_row = pg::read_data_row(frame.body()).map_err(invalid)?;
                 }
             }
@@ -359,7 +359,7 @@
                     b'E' => TransactionState::Failed,
                     _ => TransactionState::Idle,
                 };
-                self.finish(cx);
+                self.finish_exchange(cx);
             }
             _ => self.emit(cx, frame.bytes)?,
         }
@@ -382,16 +382,16 @@
     /// Passes on a part that ends a statement.
     fn emit_completion(&mut self, cx: CX![], bytes: Bytes) -> Result<(), String> {
         if let BackendState::Running(active) = &mut self.state {
-            let first = !std::mem::replace(&mut active.completed, true);
+            let first = !std::mem::replace(&mut active.statement_completed, true);
             if active.policy == OutputPolicy::HoldCompletion {
                 active.policy = OutputPolicy::HoldRest;
             }
             if active.policy == OutputPolicy::HoldAll
                 && first
-                && active.held.len() + bytes.len() > HELD_BYTES
+                && active.held.len() + bytes.len() > HELD_LIMIT_BYTES
             {
                 active.policy = OutputPolicy::HoldRest;
-                call!([self.driver, cx], held_rows_relayed(self.id, active.run));
+                call!([self.driver, cx], held_rows_relayed(self.id, active.id));
                 let held = active.held.split().freeze();
                 relay(cx, active, &self.window, held);
             }
@@ -401,12 +401,12 @@
 
     fn emit(&mut self, cx: CX![], bytes: Bytes) -> Result<(), String> {
         let BackendState::Running(active) = &mut self.state else { return Ok(()) };
-        if !active.started {
-            active.started = true;
+        if !active.output_started {
+            active.output_started = true;
             // The node decides about an answer that begins with an error when it is complete.
             let is_error = bytes.first() == Some(&kind::ERROR);
             if active.policy == OutputPolicy::Undecided && !is_error {
-                call!([self.driver, cx], run_started(self.id, active.run));
+                call!([self.driver, cx], exchange_started(self.id, active.id));
             }
         }
         match active.policy {
@@ -414,20 +414,20 @@
             OutputPolicy::Undecided => active.held.extend_from_slice(&bytes),
             OutputPolicy::HoldAll => {
                 active.held.extend_from_slice(&bytes);
-                if active.held.len() > HELD_BYTES {
-                    if active.completed {
-                        return Err(too_much_held());
+                if active.held.len() > HELD_LIMIT_BYTES {
+                    if active.statement_completed {
+                        return Err(held_limit_exceeded());
                     }
                     active.policy = OutputPolicy::HoldCompletion;
-                    call!([self.driver, cx], held_rows_relayed(self.id, active.run));
+                    call!([self.driver, cx], held_rows_relayed(self.id, active.id));
                     let held = active.held.split().freeze();
                     relay(cx, active, &self.window, held);
                 }
             }
             OutputPolicy::HoldRest => {
                 active.held.extend_from_slice(&bytes);
-                if active.held.len() > HELD_BYTES {
-                    return Err(too_much_held());
+                if active.held.len() > HELD_LIMIT_BYTES {
+                    return Err(held_limit_exceeded());
                 }
             }
             OutputPolicy::HoldCompletion | OutputPolicy::Relay => {
@@ -437,22 +437,22 @@
         Ok(())
     }
 
-    fn finish(&mut self, cx: CX![]) {
+    fn finish_exchange(&mut self, cx: CX![]) {
         match std::mem::replace(&mut self.state, BackendState::Idle) {
             BackendState::Running(active) if self.cancel == CancelState::Pending => {
                 self.state = BackendState::Ending(active);
             }
             BackendState::Running(active) | BackendState::Ending(active) => {
-                let ActiveRun { run, sink, held, summary, .. } = *active;
+                let ActiveExchange { id: run, sink, held, summary, .. } = *active;
                 let held = match sink {
                     Some(sink) if !held.is_empty() => {
                         Some(HeldAnswer { sink, bytes: held.freeze() })
                     }
                     _ => None,
                 };
-                call!([self.driver, cx], run_finished(self.id, run, summary, held));
+                call!([self.driver, cx], exchange_finished(self.id, run, summary, held));
                 if self.cancel == CancelState::Failed {
-                    self.lose(cx, "a cancel request may still be on its way".to_owned());
+                    self.report_loss(cx, "a cancel request may still be on its way".to_owned());
                 }
                 self.cancel = CancelState::None;
             }
@@ -461,7 +461,7 @@
     }
 
     /// Sends frames; the answer goes to `sink` as `mode` says.
-    pub(crate) fn run(
+    pub(crate) fn start_exchange(
         &mut self,
         cx: CX![],
         run: RunId,
@@ -469,9 +469,9 @@
         mode: RelayMode,
         sink: Option<AnswerSink>,
     ) {
-        if !matches!(self.state, BackendState::Idle) || self.lost {
+        if !matches!(self.state, BackendState::Idle) || self.ended {
             // The node runs one request at a time, so this is a connection that was just lost.
-            self.lose(cx, "the connection is not idle".to_owned());
+            self.report_loss(cx, "the connection is not idle".to_owned());
             return;
         }
         let policy = match (mode, &sink) {
@@ -480,18 +480,18 @@
             (RelayMode::Hold(_), _) => OutputPolicy::HoldAll,
             (RelayMode::Stream(_), _) => OutputPolicy::Relay,
         };
-        self.state = BackendState::Running(Box::new(ActiveRun {
-            run,
+        self.state = BackendState::Running(Box::new(ActiveExchange {
+            id: run,
             policy,
-            collect: mode == RelayMode::Collect,
+            collect_first_row: mode == RelayMode::Collect,
             sink,
             held: BytesMut::new(),
-            started: false,
+            output_started: false,
             summary: RunSummary::default(),
-            passing: 0,
+            large_frame_left: 0,
             copy_refused: false,
             extended: frames.first() != Some(&kind::QUERY),
-            completed: false,
+            statement_completed: false,
         }));
         let frames = self.statements.plan(frames);
         self.socket.push(frames, rpc::ChunkPermit::free());
@@ -499,12 +499,12 @@
     }
 
     /// Carries out the node's decision about the active run.
-    pub(crate) fn decide(&mut self, cx: CX![], run: RunId, relayed: bool) {
+    pub(crate) fn apply_relay_decision(&mut self, cx: CX![], run: RunId, relayed: bool) {
         let active = match &mut self.state {
             BackendState::Running(active) | BackendState::Ending(active) => active,
             _ => return,
         };
-        if active.run != run {
+        if active.id != run {
             return;
         }
         let held = active.held.split().freeze();
@@ -520,22 +520,22 @@
     /// Asks the backend server to cancel the active run.
     pub(crate) fn cancel(&mut self, cx: CX![], run: RunId) {
         let BackendState::Running(active) = &self.state else { return };
-        if active.run != run || self.cancel != CancelState::None {
+        if active.id != run || self.cancel != CancelState::None {
             return;
         }
         self.cancel = CancelState::Pending;
-        let packet = pg::cancel_request(self.process, &self.secret);
-        let done = fwd_to!([cx], cancelled() as (bool));
+        let packet = pg::cancel_request(self.process_id, &self.secret);
+        let done = fwd_to!([cx], cancel_finished() as (bool));
         send_cancel(cx, &self.pool, self.address, packet, done);
     }
 
-    fn cancelled(&mut self, cx: CX![], delivered: bool) {
+    fn cancel_finished(&mut self, cx: CX![], delivered: bool) {
         if self.cancel != CancelState::Pending {
             return;
         }
         self.cancel = if delivered { CancelState::Delivered } else { CancelState::Failed };
         if matches!(self.state, BackendState::Ending(_)) {
-            self.finish(cx);
+            self.finish_exchange(cx);
         }
     }
 
@@ -546,7 +546,7 @@
         self.socket.push(output.freeze(), rpc::ChunkPermit::free());
         // The socket is dropped next; a terminate message that does not fit is not missed.
         let _ = self.socket.flush();
-        self.lost = true;
+        self.ended = true;
         cx.stop();
     }
 
@@ -570,28 +570,33 @@
     }
 }
 
-fn split(input: &mut BytesMut) -> Result<Option<pg::Frame>, String> {
+fn split_frame(input: &mut BytesMut) -> Result<Option<pg::Frame>, String> {
     FrameSplitter::new(SERVER_MESSAGE_LIMIT).split(input).map_err(|error| error.to_string())
 }
 
 /// Tells whether a message goes to the caller without a look into it.
-fn is_plain(next: u8, active: &ActiveRun) -> bool {
+fn is_passthrough(next: u8, active: &ActiveExchange) -> bool {
     match next {
-        kind::DATA_ROW => !active.collect && !active.copy_refused,
+        kind::DATA_ROW => !active.collect_first_row && !active.copy_refused,
         kind::ROW_DESCRIPTION | kind::BIND_COMPLETE | kind::NO_DATA => true,
         _ => false,
     }
 }
 
-fn too_much_held() -> String {
-    format!("more than {HELD_BYTES} bytes follow a completed write in one request")
+fn held_limit_exceeded() -> String {
+    format!("more than {HELD_LIMIT_BYTES} bytes follow a completed write in one request")
 }
 
-fn relay(core: &mut stakker::Core, active: &ActiveRun, window: &Rc<RelayWindow>, bytes: Bytes) {
+fn relay(
+    core: &mut stakker::Core,
+    active: &ActiveExchange,
+    window: &Rc<RelayWindow>,
+    bytes: Bytes,
+) {
     if let Some(sink) = &active.sink
         && !bytes.is_empty()
     {
-        let permit = window.take(bytes.len());
+        let permit = window.acquire(bytes.len());
         sink.send(core, bytes, permit);
     }
 }
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -28,11 +28,11 @@
 use stakker_mio::{MioPoll, MioSource, Ready};
 
 use crate::admin::{AdminRequest, AdminServer};
-use crate::backend::{Backend, BackendStart, HeldAnswer};
+use crate::backend::{BackendConnection, BackendSetup, HeldAnswer};
 use crate::counters::CounterSet;
-use crate::platform_link::{PlatformLink, RecordCall};
-use crate::report::{ReportLink, ReportRequest};
-use crate::session::Session;
+use crate::platform_threads::{PlatformThreads, RecordCall};
+use crate::report::{ReportConnection, ReportRequest};
+use crate::session::ClientSession;
 use crate::socket::{ScratchBuffer, new_scratch};
 
 /// Time for a heartbeat; a node sends one a second.
@@ -82,13 +82,13 @@
 const DUMP_ROW_LIMIT: usize = 200;
 
 struct SessionEntry {
-    session: ActorOwn<Session>,
+    session: ActorOwn<ClientSession>,
     secret: i32,
     /// Number of the request in progress or of the last one.
     request: u64,
 }
 
-struct RunEntry {
+struct ExchangeEntry {
     connection: ConnectionId,
     /// The node's decision, if it was made before the end of the run arrived here.
     relayed: Option<bool>,
@@ -129,18 +129,18 @@
     next_peer: usize,
     next_session: u64,
     sessions: FastMap<SessionId, SessionEntry>,
-    backends: FastMap<ConnectionId, ActorOwn<Backend>>,
-    runs: FastMap<RunId, RunEntry>,
-    targets: FastMap<RunId, AnswerTarget>,
-    held: FastMap<RunId, HeldEntry>,
-    reports: FastMap<Name, (SocketAddress, ActorOwn<ReportLink>)>,
+    backends: FastMap<ConnectionId, ActorOwn<BackendConnection>>,
+    exchanges: FastMap<RunId, ExchangeEntry>,
+    answer_targets: FastMap<RunId, AnswerTarget>,
+    held_answers: FastMap<RunId, HeldEntry>,
+    report_connections: FastMap<Name, (SocketAddress, ActorOwn<ReportConnection>)>,
     /// Calls of peers in progress here.
     peer_calls: FastMap<CallId, mpsc::UnboundedSender<AnswerPart>>,
     /// Calls to peers in progress, and whether a part of the answer was relayed.
     forwards: FastMap<CallId, (CallGuard, Rc<Cell<bool>>)>,
     /// Connections that are pinned at peers.
     lanes: FastMap<LaneId, LaneHandle>,
-    platform: PlatformLink,
+    platform_threads: PlatformThreads,
     counters: CounterSet,
     /// When the armed timer fires, on the node's clock.
     timer: Option<(Micros, stakker::FixedTimerKey)>,
@@ -181,10 +181,10 @@
         admin.start(channel);
         let pool = TaskPool::new(cx);
         after!(SWEEP_INTERVAL, [cx], sweep());
-        call!([cx], begin());
+        call!([cx], start_node());
         Some(IoDriver {
             node: Node::new(settings.clone(), incarnation, seed),
-            platform: PlatformLink::new(settings.platform_address),
+            platform_threads: PlatformThreads::new(settings.platform_address),
             settings,
             started: cx.now(),
             actions: VecDeque::new(),
@@ -200,10 +200,10 @@
             next_session: 1,
             sessions: FastMap::default(),
             backends: FastMap::default(),
-            runs: FastMap::default(),
-            targets: FastMap::default(),
-            held: FastMap::default(),
-            reports: FastMap::default(),
+            exchanges: FastMap::default(),
+            answer_targets: FastMap::default(),
+            held_answers: FastMap::default(),
+            report_connections: FastMap::default(),
             peer_calls: FastMap::default(),
             forwards: FastMap::default(),
             lanes: FastMap::default(),
@@ -214,7 +214,7 @@
         })
     }
 
-    fn begin(&mut self, cx: CX![]) {
+    fn start_node(&mut self, cx: CX![]) {
         self.node_event(cx, NodeEvent::Timer);
         self.probe_configured_peers(cx);
     }
@@ -315,7 +315,7 @@
                 self.close_session(cx, session, error);
             }
             NodeAction::OpenBackend { connection, address, catalog, .. } => {
-                let start = BackendStart {
+                let setup = BackendSetup {
                     id: connection,
                     address,
                     user: self.settings.database_user.to_string(),
@@ -324,19 +324,19 @@
                     scratch: self.scratch.clone(),
                 };
                 let driver = cx.this().clone();
-                let backend = actor!(cx, Backend::init(driver, start), ret_nop!());
+                let backend = actor!(cx, BackendConnection::init(driver, setup), ret_nop!());
                 self.backends.insert(connection, backend);
             }
             NodeAction::CloseBackend { connection } => {
                 if let Some(backend) = self.backends.remove(&connection) {
-                    self.forget_runs(connection);
+                    self.remove_exchanges(connection);
                     call!([backend, cx], close());
                     // Keeps the actor until the call is carried out.
                     cx.defer(move |_| drop(backend));
                 }
             }
             NodeAction::Run { connection, run, frames, mode } => {
-                self.run(cx, connection, run, frames, mode);
+                self.start_exchange(cx, connection, run, frames, mode);
             }
             NodeAction::CancelRun { connection, run } => {
                 self.counters.add("runs.cancelled", 1);
@@ -344,19 +344,25 @@
                     call!([backend, cx], cancel(run));
                 }
             }
-            NodeAction::Relay { run } => self.decide(cx, run, true),
-            NodeAction::Discard { run } => self.decide(cx, run, false),
+            NodeAction::Relay { run } => self.apply_relay_decision(cx, run, true),
+            NodeAction::Discard { run } => self.apply_relay_decision(cx, run, false),
             NodeAction::AskReport { id, database, address } => {
-                self.ask(cx, id, database, address, ReportRequest::Report);
+                self.query_database(cx, id, database, address, ReportRequest::Report);
             }
             NodeAction::AskFence { id, database, address, term, by } => {
-                self.ask(cx, id, database, address, ReportRequest::Fence { term, by });
+                self.query_database(cx, id, database, address, ReportRequest::Fence { term, by });
             }
             NodeAction::AskPromote { id, database, address, term } => {
-                self.ask(cx, id, database, address, ReportRequest::Promote { term });
+                self.query_database(cx, id, database, address, ReportRequest::Promote { term });
             }
             NodeAction::AskFollow { id, database, address, term, leader } => {
-                self.ask(cx, id, database, address, ReportRequest::Follow { term, leader });
+                self.query_database(
+                    cx,
+                    id,
+                    database,
+                    address,
+                    ReportRequest::Follow { term, leader },
+                );
             }
             NodeAction::SendHeartbeat { .. }
             | NodeAction::PullTable { .. }
@@ -368,12 +374,14 @@
             | NodeAction::DropLane { .. } => self.execute_peer_action(cx, action),
             NodeAction::WatchPlatform(true) => {
                 let driver = cx.this().clone();
-                self.platform.start_watches(cx, &driver);
+                self.platform_threads.start_watches(cx, &driver);
+            }
+            NodeAction::WatchPlatform(false) => self.platform_threads.stop_watches(),
+            NodeAction::ReadRecord { cluster } => {
+                self.start_record_call(cx, RecordCall::Read { cluster })
             }
-            NodeAction::WatchPlatform(false) => self.platform.stop_watches(),
-            NodeAction::ReadRecord { cluster } => self.record(cx, RecordCall::Read { cluster }),
             NodeAction::WriteRecord { cluster, expected_index, bytes } => {
-                self.record(cx, RecordCall::Write { cluster, expected_index, bytes });
+                self.start_record_call(cx, RecordCall::Write { cluster, expected_index, bytes });
             }
             NodeAction::ShutdownComplete => self.shutdown_complete(cx),
             NodeAction::Log { level, message } => match level {
--- a/crates/daemon/src/driver/backends.rs
+++ b/crates/daemon/src/driver/backends.rs
@@ -8,13 +8,13 @@
 use stakker::{Actor, CX, actor, call, ret_nop};
 use stakker_mio::mio::net::TcpStream;
 
-use super::{HeldEntry, IoDriver, REPORT_DATABASE, RunEntry};
+use super::{ExchangeEntry, HeldEntry, IoDriver, REPORT_DATABASE};
 use crate::backend::HeldAnswer;
 use crate::relay::AnswerSink;
-use crate::report::{ReportLink, ReportRequest, ReportStart};
+use crate::report::{ReportConnection, ReportRequest, ReportSetup};
 
 impl IoDriver {
-    pub(super) fn sink(&self, target: AnswerTarget) -> Option<AnswerSink> {
+    pub(super) fn answer_sink(&self, target: AnswerTarget) -> Option<AnswerSink> {
         match target {
             AnswerTarget::Session(session) => {
                 let entry = self.sessions.get(&session)?;
@@ -25,7 +25,7 @@
         }
     }
 
-    pub(super) fn run(
+    pub(super) fn start_exchange(
         &mut self,
         cx: CX![],
         connection: ConnectionId,
@@ -43,41 +43,41 @@
                 Some(target)
             }
         };
-        let sink = target.and_then(|target| self.sink(target));
+        let sink = target.and_then(|target| self.answer_sink(target));
         if let Some(target) = target {
-            self.targets.insert(run, target);
+            self.answer_targets.insert(run, target);
         }
-        self.runs.insert(run, RunEntry { connection, relayed: None });
-        call!([backend, cx], run(run, frames, mode, sink));
+        self.exchanges.insert(run, ExchangeEntry { connection, relayed: None });
+        call!([backend, cx], start_exchange(run, frames, mode, sink));
     }
 
-    pub(super) fn decide(&mut self, cx: CX![], run: RunId, relayed: bool) {
-        if let Some(HeldEntry { answer, .. }) = self.held.remove(&run) {
+    pub(super) fn apply_relay_decision(&mut self, cx: CX![], run: RunId, relayed: bool) {
+        if let Some(HeldEntry { answer, .. }) = self.held_answers.remove(&run) {
             if relayed {
                 answer.sink.send(cx, answer.bytes, ChunkPermit::free());
             }
             return;
         }
-        if let Some(entry) = self.runs.get_mut(&run) {
+        if let Some(entry) = self.exchanges.get_mut(&run) {
             entry.relayed = Some(relayed);
             if let Some(backend) = self.backends.get(&entry.connection) {
-                call!([backend, cx], decide(run, relayed));
+                call!([backend, cx], apply_relay_decision(run, relayed));
             }
         }
     }
 
     pub(super) fn discard_held(&mut self, target: AnswerTarget) {
-        if !self.held.is_empty() {
-            self.held.retain(|_, entry| entry.target != target);
+        if !self.held_answers.is_empty() {
+            self.held_answers.retain(|_, entry| entry.target != target);
         }
     }
 
-    pub(super) fn forget_runs(&mut self, connection: ConnectionId) {
-        let targets = &mut self.targets;
-        self.runs.retain(|run, entry| {
+    pub(super) fn remove_exchanges(&mut self, connection: ConnectionId) {
+        let answer_targets = &mut self.answer_targets;
+        self.exchanges.retain(|run, entry| {
             let keep = entry.connection != connection;
             if !keep {
-                targets.remove(run);
+                answer_targets.remove(run);
             }
             keep
         });
@@ -93,27 +93,27 @@
     /// A connection could not be opened or was lost.
     pub(crate) fn backend_lost(&mut self, cx: CX![], connection: ConnectionId, message: String) {
         if self.backends.remove(&connection).is_some() {
-            self.forget_runs(connection);
+            self.remove_exchanges(connection);
             self.node_event(cx, NodeEvent::BackendLost { connection, message });
         }
     }
 
     /// The first part of an answer arrived in mode `Decide`.
-    pub(crate) fn run_started(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
-        if self.runs.contains_key(&run) {
+    pub(crate) fn exchange_started(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
+        if self.exchanges.contains_key(&run) {
             self.node_event(cx, NodeEvent::RunStarted { connection, run });
         }
     }
 
     /// Rows of a held answer went out.
     pub(crate) fn held_rows_relayed(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
-        if self.runs.contains_key(&run) {
+        if self.exchanges.contains_key(&run) {
             self.node_event(cx, NodeEvent::HeldRowsRelayed { connection, run });
         }
     }
 
     /// The answer of a run is complete.
-    pub(crate) fn run_finished(
+    pub(crate) fn exchange_finished(
         &mut self,
         cx: CX![],
         connection: ConnectionId,
@@ -121,14 +121,14 @@
         summary: RunSummary,
         held: Option<HeldAnswer>,
     ) {
-        let Some(entry) = self.runs.remove(&run) else { return };
-        let target = self.targets.remove(&run);
+        let Some(entry) = self.exchanges.remove(&run) else { return };
+        let target = self.answer_targets.remove(&run);
         if let (Some(answer), Some(target)) = (held, target) {
             match entry.relayed {
                 Some(true) => answer.sink.send(cx, answer.bytes, ChunkPermit::free()),
                 Some(false) => {}
                 None => {
-                    self.held.insert(run, HeldEntry { target, answer });
+                    self.held_answers.insert(run, HeldEntry { target, answer });
                 }
             }
         }
@@ -137,7 +137,7 @@
 
     // Report connections.
 
-    pub(super) fn ask(
+    pub(super) fn query_database(
         &mut self,
         cx: CX![],
         id: ReportId,
@@ -145,7 +145,8 @@
         address: SocketAddress,
         request: ReportRequest,
     ) {
-        let current = self.reports.get(&database).is_some_and(|(held, _)| *held == address);
+        let current =
+            self.report_connections.get(&database).is_some_and(|(held, _)| *held == address);
         if !current {
             let stream = match TcpStream::connect(rpc::dial_address(address)) {
                 Ok(stream) => stream,
@@ -155,7 +156,7 @@
                     return;
                 }
             };
-            let start = ReportStart {
+            let setup = ReportSetup {
                 stream,
                 database: database.clone(),
                 address,
@@ -164,16 +165,16 @@
                 scratch: self.scratch.clone(),
             };
             let driver = cx.this().clone();
-            let link = actor!(cx, ReportLink::init(driver, start), ret_nop!());
-            self.reports.insert(database.clone(), (address, link));
+            let connection = actor!(cx, ReportConnection::init(driver, setup), ret_nop!());
+            self.report_connections.insert(database.clone(), (address, connection));
         }
-        if let Some((_, link)) = self.reports.get(&database) {
-            call!([link, cx], ask(id, request));
+        if let Some((_, connection)) = self.report_connections.get(&database) {
+            call!([connection, cx], send_request(id, request));
         }
     }
 
     /// A report connection failed with these requests in progress.
-    pub(crate) fn report_link_lost(
+    pub(crate) fn report_connection_lost(
         &mut self,
         cx: CX![],
         database: Name,
@@ -182,7 +183,7 @@
     ) {
         log::debug!("lost a report connection database={database} error={message:?}");
         self.counters.add("reports.connections_lost", 1);
-        self.reports.remove(&database);
+        self.report_connections.remove(&database);
         for id in ids {
             self.node_event(cx, NodeEvent::ReportFailed { id });
         }
--- a/crates/daemon/src/driver/clients.rs
+++ b/crates/daemon/src/driver/clients.rs
@@ -13,7 +13,7 @@
     ACCEPT_BACKOFF, IoDriver, KEEPALIVE_IDLE, KEEPALIVE_INTERVAL, REFUSED_CONNECTION_LIMIT,
     SessionEntry, is_transient, process_id, session_candidates,
 };
-use crate::session::{Session, SessionSetup};
+use crate::session::{ClientSession, SessionSetup};
 
 impl IoDriver {
     pub(super) fn accept_clients(&mut self, cx: CX![], _: Ready) {
@@ -62,14 +62,14 @@
             id,
             stream,
             address: address.ip().to_string().into(),
-            process: process_id(id),
+            process_id: process_id(id),
             secret,
             request_limit: self.settings.request_limit_bytes as usize,
-            refused: self.sessions.len() >= limit,
+            over_limit: self.sessions.len() >= limit,
             scratch: self.scratch.clone(),
         };
         let driver = cx.this().clone();
-        let session = actor!(cx, Session::init(driver, setup), ret_nop!());
+        let session = actor!(cx, ClientSession::init(driver, setup), ret_nop!());
         self.sessions.insert(id, SessionEntry { session, secret, request: 0 });
     }
 
--- a/crates/daemon/src/driver/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -8,12 +8,12 @@
 
 use super::{DRAIN_GRACE, DUMP_ROW_LIMIT, FINAL_FLUSH_TIMEOUT, FINAL_REPLY_GRACE, IoDriver};
 use crate::admin::{AdminCall, AdminRequest};
-use crate::platform_link::RecordCall;
+use crate::platform_threads::RecordCall;
 
 impl IoDriver {
-    pub(super) fn record(&mut self, cx: CX![], request: RecordCall) {
+    pub(super) fn start_record_call(&mut self, cx: CX![], request: RecordCall) {
         let driver = cx.this().clone();
-        if let Err(cluster) = self.platform.record(cx, &driver, request) {
+        if let Err(cluster) = self.platform_threads.start_record_call(cx, &driver, request) {
             let event = NodeEvent::PlatformAnswered(node::PlatformAnswer::RecordFailed { cluster });
             call!([cx], node_event(event));
         }
@@ -21,7 +21,7 @@
 
     /// A call about a record was answered.
     pub(crate) fn record_answered(&mut self, cx: CX![], answer: node::PlatformAnswer) {
-        self.platform.record_answered();
+        self.platform_threads.record_answered();
         self.platform_answered(cx, answer);
     }
 
@@ -81,16 +81,16 @@
             "draining": self.draining,
             "session_count": self.sessions.len(),
             "backend_count": self.backends.len(),
-            "run_count": self.runs.len(),
-            "held_answers": self.held.len(),
-            "held_bytes": self.held.values().map(|entry| entry.answer.bytes.len()).sum::<usize>(),
-            "report_connections": self.reports.len(),
+            "run_count": self.exchanges.len(),
+            "held_answers": self.held_answers.len(),
+            "held_bytes": self.held_answers.values().map(|entry| entry.answer.bytes.len()).sum::<usize>(),
+            "report_connections": self.report_connections.len(),
             "peer_connections": self.peer_clients.connection_count(),
             "peer_tasks": self.pool.len(),
             "calls_received": self.peer_calls.len(),
             "calls_sent": self.forwards.len(),
             "lanes": self.lanes.len(),
-            "platform_watches": self.platform.watch_count(),
+            "platform_watches": self.platform_threads.watch_count(),
             "counters": self.counters.values(),
         });
         cx.defer(move |_| {
@@ -119,7 +119,11 @@
     }
 
     pub(super) fn drain_timed_out(&mut self, cx: CX![]) {
-        log::warn!("drain timed out sessions={} runs={}", self.sessions.len(), self.runs.len());
+        log::warn!(
+            "drain timed out sessions={} runs={}",
+            self.sessions.len(),
+            self.exchanges.len()
+        );
         cx.shutdown(StopCause::Stopped);
     }
 
--- a/crates/daemon/src/driver/peers.rs
+++ b/crates/daemon/src/driver/peers.rs
@@ -114,7 +114,7 @@
         lane: Option<LaneId>,
         work: &WorkRequest,
     ) {
-        let sink = self.sink(AnswerTarget::Session(session));
+        let sink = self.answer_sink(AnswerTarget::Session(session));
         let deferrer = cx.deferrer();
         let relayed = Rc::new(Cell::new(false));
         let chunk_relayed = relayed.clone();
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -9,7 +9,7 @@
 /// What the backend server said so far.
 #[derive(Debug, Default)]
 pub(crate) struct ServerHandshake {
-    pub(crate) process: i32,
+    pub(crate) process_id: i32,
     pub(crate) secret: Vec<u8>,
 }
 
@@ -36,7 +36,7 @@
             },
             kind::BACKEND_KEY => {
                 let key = pg::read_backend_key(frame.body()).map_err(|error| error.to_string())?;
-                self.process = key.0;
+                self.process_id = key.0;
                 self.secret = key.1.to_vec();
                 Ok(false)
             }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -24,7 +24,7 @@
 mod driver;
 mod handshake;
 mod logging;
-mod platform_link;
+mod platform_threads;
 mod relay;
 mod report;
 mod session;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -18,14 +18,16 @@
             out.finish(format_args!("{time} {} {} {message}", record.level(), record.target()));
         })
         .level(level)
-        .filter(|metadata| metadata.level() <= log::Level::Warn || is_own(metadata.target()))
+        .filter(|metadata| {
+            metadata.level() <= log::Level::Warn || is_project_target(metadata.target())
+        })
         .chain(std::io::stderr())
         .apply()?;
     Ok(())
 }
 
 /// Tells whether a line comes from this project. Libraries are heard only when something is wrong.
-fn is_own(target: &str) -> bool {
+fn is_project_target(target: &str) -> bool {
     const CRATES: [&str; 5] = ["daemon", "node", "platform", "rpc", "cicadawickd"];
     let name = target.split("::").next().unwrap_or(target);
     CRATES.contains(&name)
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -102,7 +102,7 @@
             println!("{addresses}");
         }
         if let Some(file) = ready_file
-            && let Err(error) = write_whole(&file, &format!("{addresses}\n"))
+            && let Err(error) = write_atomically(&file, &format!("{addresses}\n"))
         {
             log::error!("failed to write {} error={error}", file.display());
         }
@@ -111,7 +111,7 @@
 }
 
 /// Writes beside the file and renames, so that a reader never sees a part of the line.
-fn write_whole(file: &std::path::Path, text: &str) -> std::io::Result<()> {
+fn write_atomically(file: &std::path::Path, text: &str) -> std::io::Result<()> {
     let partial = file.with_extension("partial");
     std::fs::write(&partial, text)?;
     std::fs::rename(&partial, file)
--- a/crates/daemon/src/platform_link.rs
+++ b/crates/daemon/src/platform_threads.rs
@@ -25,7 +25,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Pause after a failed watch, so that an outage does not cause a burst of calls.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Calls about records that wait at most.
 const RECORD_CALL_LIMIT: usize = 256;
@@ -37,17 +37,22 @@
 }
 
 /// Threads that talk to the platform.
-pub(crate) struct PlatformLink {
+pub(crate) struct PlatformThreads {
     address: SocketAddress,
     watches: Vec<PipedThread<(), PlatformAnswer>>,
-    records: Option<PipedThread<RecordCall, PlatformAnswer>>,
-    waiting: usize,
+    record_thread: Option<PipedThread<RecordCall, PlatformAnswer>>,
+    pending_record_calls: usize,
 }
 
-impl PlatformLink {
+impl PlatformThreads {
     /// Creates a link without threads.
     pub(crate) fn new(address: SocketAddress) -> Self {
-        PlatformLink { address, watches: Vec::new(), records: None, waiting: 0 }
+        PlatformThreads {
+            address,
+            watches: Vec::new(),
+            record_thread: None,
+            pending_record_calls: 0,
+        }
     }
 
     /// Returns the number of watch threads, for the state dump.
@@ -62,9 +67,9 @@
         }
         for (document, key) in DOCUMENT_KEYS {
             let client = PlatformClient::new(self.address, CALL_TIMEOUT);
-            self.watches.push(spawn(core, driver, move |link| {
+            self.watches.push(spawn_watch(core, driver, move |link| {
                 let mut index = 0;
-                watch(link, || {
+                run_watch(link, || {
                     let (value, next) = client.watch(key, index, WATCH_WAIT)?;
                     let changed = next != index || index == 0;
                     index = next;
@@ -76,9 +81,9 @@
             }));
         }
         let client = PlatformClient::new(self.address, CALL_TIMEOUT);
-        self.watches.push(spawn(core, driver, move |link| {
+        self.watches.push(spawn_watch(core, driver, move |link| {
             let mut index = 0;
-            watch(link, || {
+            run_watch(link, || {
                 let (vms, next) = client.watch_vms(index, WATCH_WAIT)?;
                 let changed = next != index || index == 0;
                 index = next;
@@ -100,45 +105,45 @@
     }
 
     /// Makes a call about a record. Returns the call's cluster if too many calls wait.
-    pub(crate) fn record(
+    pub(crate) fn start_record_call(
         &mut self,
         core: &mut Core,
         driver: &Actor<IoDriver>,
         request: RecordCall,
     ) -> Result<(), Name> {
-        if self.waiting >= RECORD_CALL_LIMIT {
+        if self.pending_record_calls >= RECORD_CALL_LIMIT {
             let (RecordCall::Read { cluster } | RecordCall::Write { cluster, .. }) = request;
             return Err(cluster);
         }
-        self.waiting += 1;
+        self.pending_record_calls += 1;
         let address = self.address;
-        let records = self.records.get_or_insert_with(|| {
+        let record_thread = self.record_thread.get_or_insert_with(|| {
             let driver = driver.clone();
             let answered = Fwd::new(move |answer| {
                 let driver = driver.clone();
                 let deferred = driver.clone();
                 driver.defer(move |stakker| call!([deferred, stakker], record_answered(answer)));
             });
-            PipedThread::spawn(answered, log_end(), core, move |link| {
+            PipedThread::spawn(answered, log_thread_panic(), core, move |link| {
                 let client = PlatformClient::new(address, CALL_TIMEOUT);
                 while let Some(request) = link.recv() {
-                    if !link.send(record_call(&client, request)) {
+                    if !link.send(execute_record_call(&client, request)) {
                         return;
                     }
                 }
             })
         });
-        records.send(request);
+        record_thread.send(request);
         Ok(())
     }
 
     /// Takes note of an answered call about a record.
     pub(crate) fn record_answered(&mut self) {
-        self.waiting = self.waiting.saturating_sub(1);
+        self.pending_record_calls = self.pending_record_calls.saturating_sub(1);
     }
 }
 
-fn log_end() -> Fwd<Option<String>> {
+fn log_thread_panic() -> Fwd<Option<String>> {
     Fwd::new(|panic: Option<String>| {
         if let Some(panic) = panic {
             log::error!("a platform thread failed error={panic:?}");
@@ -146,7 +151,7 @@
     })
 }
 
-fn spawn(
+fn spawn_watch(
     core: &mut Core,
     driver: &Actor<IoDriver>,
     run: impl FnOnce(&mut PipedLink<(), PlatformAnswer>) + Send + 'static,
@@ -157,10 +162,10 @@
         let deferred = driver.clone();
         driver.defer(move |stakker| call!([deferred, stakker], platform_answered(answer)));
     });
-    PipedThread::spawn(answered, log_end(), core, run)
+    PipedThread::spawn(answered, log_thread_panic(), core, run)
 }
 
-fn watch(
+fn run_watch(
     link: &mut PipedLink<(), PlatformAnswer>,
     mut next: impl FnMut() -> Result<Option<PlatformAnswer>, PlatformError>,
 ) {
@@ -183,7 +188,7 @@
                     failing = true;
                     log::warn!("failed to watch the platform error={:?}", error.to_string());
                 }
-                std::thread::sleep(RETRY_PAUSE);
+                std::thread::sleep(RETRY_BACKOFF);
             }
         }
     }
@@ -193,7 +198,7 @@
     format!("cicadawick/clusters/{cluster}")
 }
 
-fn record_call(client: &PlatformClient, request: RecordCall) -> PlatformAnswer {
+fn execute_record_call(client: &PlatformClient, request: RecordCall) -> PlatformAnswer {
     match request {
         RecordCall::Read { cluster } => match client.get(&record_key(&cluster)) {
             Ok(value) => {
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -8,7 +8,7 @@
 use rpc::{AnswerPart, CHUNK_BYTES, ChunkPermit};
 use stakker::{Actor, Core, Fwd, call};
 
-use crate::session::Session;
+use crate::session::ClientSession;
 
 /// Bytes of one run's answer that may be on their way to the caller. With the socket buffers of the
 /// system it bounds what a slow caller costs.
@@ -29,10 +29,10 @@
     }
 
     /// Accounts for a chunk until the permit is dropped.
-    pub(crate) fn take(self: &Rc<Self>, bytes: usize) -> ChunkPermit {
+    pub(crate) fn acquire(self: &Rc<Self>, bytes: usize) -> ChunkPermit {
         self.in_flight.set(self.in_flight.get() + bytes);
         let window = self.clone();
-        ChunkPermit::new(move || window.give_back(bytes))
+        ChunkPermit::new(move || window.release(bytes))
     }
 
     /// Tells whether the source must stop; it is then told when to continue.
@@ -49,7 +49,7 @@
         self.in_flight.get()
     }
 
-    fn give_back(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         self.in_flight.set(self.in_flight.get().saturating_sub(bytes));
         if self.paused.get() && self.in_flight.get() <= WINDOW_BYTES / 2 {
             self.paused.set(false);
@@ -62,7 +62,7 @@
 #[derive(Clone)]
 pub(crate) enum AnswerSink {
     /// The request with this number of a session here. Parts for another request are dropped.
-    Session { session: Actor<Session>, request: u64 },
+    Session { session: Actor<ClientSession>, request: u64 },
     /// A peer's call.
     Call(mpsc::UnboundedSender<AnswerPart>),
 }
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -25,9 +25,9 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Requests that wait for an answer at most.
-const REQUEST_LIMIT: usize = 32;
+const PENDING_REQUEST_LIMIT: usize = 32;
 
-const READ_BYTES: usize = 64 * 1024;
+const READ_LIMIT_BYTES: usize = 64 * 1024;
 
 /// What a database is asked.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     fn event(&self, id: ReportId, row: &[Option<String>]) -> Result<Option<NodeEvent>, String> {
         match self {
             ReportRequest::Report => {
-                Ok(Some(NodeEvent::ReportArrived { id, report: read_report(row)? }))
+                Ok(Some(NodeEvent::ReportArrived { id, report: parse_report(row)? }))
             }
             ReportRequest::Fence { .. } => {
                 let accepted = match column(row, 0)? {
@@ -65,11 +65,11 @@
                     "f" => false,
                     other => return Err(format!("invalid boolean {other:?}")),
                 };
-                let report = read_report(&row[1..])?;
+                let report = parse_report(&row[1..])?;
                 Ok(Some(NodeEvent::FenceAnswered { id, accepted, report }))
             }
             ReportRequest::Promote { .. } => {
-                let start = LogPosition(number(row, 0)?);
+                let start = LogPosition(parse_number(row, 0)?);
                 Ok(Some(NodeEvent::PromoteAnswered { id, start }))
             }
             ReportRequest::Follow { .. } => Ok(None),
@@ -83,35 +83,35 @@
         .ok_or_else(|| format!("column {} is missing", index + 1))
 }
 
-fn number(row: &[Option<String>], index: usize) -> Result<u64, String> {
+fn parse_number(row: &[Option<String>], index: usize) -> Result<u64, String> {
     let text = column(row, index)?;
     text.parse().map_err(|_| format!("invalid number {text:?} in column {}", index + 1))
 }
 
-fn read_report(row: &[Option<String>]) -> Result<DatabaseReport, String> {
+fn parse_report(row: &[Option<String>]) -> Result<DatabaseReport, String> {
     Ok(DatabaseReport {
-        term: Term(number(row, 0)?),
+        term: Term(parse_number(row, 0)?),
         role: match column(row, 1)? {
             "primary" => DatabaseRole::Primary,
             "replica" => DatabaseRole::Replica,
             other => return Err(format!("invalid role {other:?}")),
         },
-        log_term: Term(number(row, 2)?),
-        received: LogPosition(number(row, 3)?),
-        applied: LogPosition(number(row, 4)?),
-        term_start: LogPosition(number(row, 5)?),
-        previous_term: Term(number(row, 6)?),
+        log_term: Term(parse_number(row, 2)?),
+        received: LogPosition(parse_number(row, 3)?),
+        applied: LogPosition(parse_number(row, 4)?),
+        term_start: LogPosition(parse_number(row, 5)?),
+        previous_term: Term(parse_number(row, 6)?),
     })
 }
 
-struct WaitingRequest {
+struct PendingRequest {
     id: ReportId,
     request: ReportRequest,
-    since: Instant,
+    queued_at: Instant,
 }
 
 /// What opening a report connection needs.
-pub(crate) struct ReportStart {
+pub(crate) struct ReportSetup {
     /// A stream that is connecting.
     pub(crate) stream: TcpStream,
     pub(crate) database: Name,
@@ -122,40 +122,43 @@
 }
 
 /// The report connection to one database.
-pub(crate) struct ReportLink {
+pub(crate) struct ReportConnection {
     database: Name,
     address: SocketAddress,
     driver: Actor<IoDriver>,
     socket: BufferedSocket,
     /// `None` once the connection is ready.
     handshake: Option<ServerHandshake>,
-    waiting: VecDeque<WaitingRequest>,
+    pending: VecDeque<PendingRequest>,
     row: Vec<Option<String>>,
     error: Option<String>,
     failed: bool,
 }
 
-impl ReportLink {
+impl ReportConnection {
     /// Begins to open a connection.
-    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, start: ReportStart) -> Option<Self> {
-        let ReportStart { stream, database, address, user, catalog, scratch } = start;
+    pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: ReportSetup) -> Option<Self> {
+        let ReportSetup { stream, database, address, user, catalog, scratch } = setup;
         let poll: MioPoll = cx.anymap_get();
         let ready = fwd_to!([cx], ready() as (Ready));
         let mut socket = match BufferedSocket::new(&poll, stream, scratch, ready) {
             Ok(socket) => socket,
             Err(error) => {
-                call!([driver, cx], report_link_lost(database, Vec::new(), error.to_string()));
+                call!(
+                    [driver, cx],
+                    report_connection_lost(database, Vec::new(), error.to_string())
+                );
                 return None;
             }
         };
         socket.push(startup_packet(&user, &catalog), rpc::ChunkPermit::free());
-        Some(ReportLink {
+        Some(ReportConnection {
             database,
             address,
             driver,
             socket,
             handshake: Some(ServerHandshake::default()),
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             row: Vec::new(),
             error: None,
             failed: false,
@@ -163,20 +166,20 @@
     }
 
     /// Sends a request.
-    pub(crate) fn ask(&mut self, cx: CX![], id: ReportId, request: ReportRequest) {
-        if self.failed || self.waiting.len() >= REQUEST_LIMIT {
+    pub(crate) fn send_request(&mut self, cx: CX![], id: ReportId, request: ReportRequest) {
+        if self.failed || self.pending.len() >= PENDING_REQUEST_LIMIT {
             call!([self.driver, cx], node_event(NodeEvent::ReportFailed { id }));
             return;
         }
         if self.handshake.is_none() {
-            self.send(&request);
+            self.write_request(&request);
         }
-        self.waiting.push_back(WaitingRequest { id, request, since: cx.now() });
+        self.pending.push_back(PendingRequest { id, request, queued_at: cx.now() });
         after!(REQUEST_TIMEOUT, [cx], check_timeout());
         self.flush(cx);
     }
 
-    fn send(&mut self, request: &ReportRequest) {
+    fn write_request(&mut self, request: &ReportRequest) {
         let mut output = BytesMut::new();
         pg::put_query(&mut output, &request.statement());
         self.socket.push(output.freeze(), rpc::ChunkPermit::free());
@@ -184,10 +187,9 @@
 
     fn check_timeout(&mut self, cx: CX![]) {
         let now = cx.now();
-        let late = self
-            .waiting
-            .front()
-            .is_some_and(|waiting| now.saturating_duration_since(waiting.since) >= REQUEST_TIMEOUT);
+        let late = self.pending.front().is_some_and(|pending| {
+            now.saturating_duration_since(pending.queued_at) >= REQUEST_TIMEOUT
+        });
         if late {
             self.fail(cx, format!("{} did not answer in time", self.address));
         }
@@ -209,9 +211,9 @@
     fn fail(&mut self, cx: CX![], message: String) {
         if !self.failed {
             self.failed = true;
-            let ids: Vec<ReportId> = self.waiting.drain(..).map(|waiting| waiting.id).collect();
+            let ids: Vec<ReportId> = self.pending.drain(..).map(|pending| pending.id).collect();
             // The driver drops this actor. Until then it refuses requests, so that each is answered.
-            call!([self.driver, cx], report_link_lost(self.database.clone(), ids, message));
+            call!([self.driver, cx], report_connection_lost(self.database.clone(), ids, message));
         }
     }
 
@@ -219,11 +221,11 @@
         if self.failed {
             return;
         }
-        let outcome = self.socket.fill(self.socket.input.len() + READ_BYTES);
+        let outcome = self.socket.fill(self.socket.input.len() + READ_LIMIT_BYTES);
         loop {
             let frame = FrameSplitter::new(SERVER_MESSAGE_LIMIT).split(&mut self.socket.input);
             let handled = match frame {
-                Ok(Some(frame)) => self.message(cx, &frame),
+                Ok(Some(frame)) => self.process_message(cx, &frame),
                 Ok(None) => break,
                 Err(error) => Err(error.to_string()),
             };
@@ -241,14 +243,14 @@
         }
     }
 
-    fn message(&mut self, cx: CX![], frame: &pg::Frame) -> Result<(), String> {
+    fn process_message(&mut self, cx: CX![], frame: &pg::Frame) -> Result<(), String> {
         if let Some(handshake) = &mut self.handshake {
             if handshake.message(frame)? {
                 self.handshake = None;
                 let requests: Vec<ReportRequest> =
-                    self.waiting.iter().map(|waiting| waiting.request.clone()).collect();
+                    self.pending.iter().map(|pending| pending.request.clone()).collect();
                 for request in &requests {
-                    self.send(request);
+                    self.write_request(request);
                 }
                 self.flush(cx);
             }
@@ -268,7 +270,7 @@
             kind::READY => {
                 let row = std::mem::take(&mut self.row);
                 let error = self.error.take();
-                let Some(WaitingRequest { id, request, .. }) = self.waiting.pop_front() else {
+                let Some(PendingRequest { id, request, .. }) = self.pending.pop_front() else {
                     return Err("an answer without a request".to_owned());
                 };
                 let event = match error {
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -25,7 +25,7 @@
 const READ_AHEAD_BYTES: usize = 16 * 1024;
 
 /// Bytes that one read takes, so that one caller does not keep the loop.
-const READ_BYTES: usize = 128 * 1024;
+const READ_LIMIT_BYTES: usize = 128 * 1024;
 
 /// Time for a caller to send its start-up packet.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
@@ -33,10 +33,10 @@
 /// Time between an answer and the fatal error that ends the session, unless the caller sends its next message
 /// before. Drivers that read both at once report the error instead of the answer; 200 ms were too short for
 /// callers beside load.
-const CLOSE_PAUSE: Duration = Duration::from_millis(1_000);
+const CLOSE_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Time that a closing connection has to take its last message.
-const LINGER: Duration = Duration::from_secs(2);
+const CLOSING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a new session needs.
 pub(crate) struct SessionSetup {
@@ -44,11 +44,11 @@
     pub(crate) stream: TcpStream,
     pub(crate) address: Name,
     /// Sent in `BackendKeyData`; a cancel request must show both.
-    pub(crate) process: i32,
+    pub(crate) process_id: i32,
     pub(crate) secret: i32,
     pub(crate) request_limit: usize,
     /// The process has too many callers.
-    pub(crate) refused: bool,
+    pub(crate) over_limit: bool,
     pub(crate) scratch: ScratchBuffer,
 }
 
@@ -64,22 +64,22 @@
         flush: bool,
     },
     /// The node closes the session, a little after its last answer.
-    Pausing,
+    ClosePending,
     /// Only output is left.
     Closing,
 }
 
 /// A caller's connection.
-pub(crate) struct Session {
+pub(crate) struct ClientSession {
     id: SessionId,
     driver: Actor<IoDriver>,
     socket: BufferedSocket,
     state: SessionState,
     address: Name,
-    process: i32,
+    process_id: i32,
     secret: i32,
     request_limit: usize,
-    refused: bool,
+    over_limit: bool,
     /// Number of the request in progress or of the last one.
     request: u64,
     transaction: u8,
@@ -88,22 +88,30 @@
     message_bytes: usize,
     /// A request that ended at a Flush failed: messages up to the Sync are skipped.
     skip_to_sync: bool,
-    failed: bool,
+    request_failed: bool,
     statements: StatementTable,
     scanner: AnswerScanner,
     flush_scheduled: bool,
     /// When the last answer was finished.
-    answered: Option<Instant>,
+    answered_at: Option<Instant>,
     /// What the caller is told at the end of a pause.
-    last_error: Option<ErrorReply>,
+    close_error: Option<ErrorReply>,
     ended: bool,
 }
 
-impl Session {
+impl ClientSession {
     /// Starts to serve a caller.
     pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: SessionSetup) -> Option<Self> {
-        let SessionSetup { id, stream, address, process, secret, request_limit, refused, scratch } =
-            setup;
+        let SessionSetup {
+            id,
+            stream,
+            address,
+            process_id,
+            secret,
+            request_limit,
+            over_limit,
+            scratch,
+        } = setup;
         let poll: MioPoll = cx.anymap_get();
         let ready = fwd_to!([cx], ready() as (Ready));
         let socket = match BufferedSocket::new(&poll, stream, scratch, ready) {
@@ -114,34 +122,34 @@
                 return None;
             }
         };
-        after!(STARTUP_TIMEOUT, [cx], check_started());
+        after!(STARTUP_TIMEOUT, [cx], check_startup_timeout());
         call!([cx], read());
-        Some(Session {
+        Some(ClientSession {
             id,
             driver,
             socket,
             state: SessionState::Starting,
             address,
-            process,
+            process_id,
             secret,
             request_limit,
-            refused,
+            over_limit,
             request: 0,
             transaction: b'I',
             messages: Vec::new(),
             message_bytes: 0,
             skip_to_sync: false,
-            failed: false,
+            request_failed: false,
             statements: StatementTable::default(),
             scanner: AnswerScanner::default(),
             flush_scheduled: false,
-            answered: None,
-            last_error: None,
+            answered_at: None,
+            close_error: None,
             ended: false,
         })
     }
 
-    fn check_started(&mut self, cx: CX![]) {
+    fn check_startup_timeout(&mut self, cx: CX![]) {
         if self.state == SessionState::Starting {
             self.end(cx);
         }
@@ -168,11 +176,11 @@
         if !self.flush_scheduled {
             // One write for what is queued by all calls that are already under way.
             self.flush_scheduled = true;
-            lazy!([cx], flush_lazily());
+            lazy!([cx], scheduled_flush());
         }
     }
 
-    fn flush_lazily(&mut self, cx: CX![]) {
+    fn scheduled_flush(&mut self, cx: CX![]) {
         self.flush_scheduled = false;
         self.flush(cx);
     }
@@ -190,8 +198,10 @@
     fn read_limit(&self) -> usize {
         match self.state {
             SessionState::Closing => 0,
-            SessionState::Starting | SessionState::Idle => self.socket.input.len() + READ_BYTES,
-            SessionState::Opening | SessionState::Busy { .. } | SessionState::Pausing => {
+            SessionState::Starting | SessionState::Idle => {
+                self.socket.input.len() + READ_LIMIT_BYTES
+            }
+            SessionState::Opening | SessionState::Busy { .. } | SessionState::ClosePending => {
                 READ_AHEAD_BYTES
             }
         }
@@ -204,7 +214,7 @@
         let limit = self.read_limit();
         let outcome = self.socket.fill(limit);
         self.process(cx);
-        if self.state == SessionState::Pausing && !self.socket.input.is_empty() {
+        if self.state == SessionState::ClosePending && !self.socket.input.is_empty() {
             self.close_now(cx);
         }
         match outcome {
@@ -224,8 +234,8 @@
     fn process(&mut self, cx: CX![]) {
         loop {
             let advanced = match self.state {
-                SessionState::Starting => self.first_packet(cx),
-                SessionState::Idle => self.next_message(cx),
+                SessionState::Starting => self.process_first_packet(cx),
+                SessionState::Idle => self.process_next_message(cx),
                 _ => false,
             };
             if !advanced {
@@ -235,7 +245,7 @@
         self.socket.release_input();
     }
 
-    fn first_packet(&mut self, cx: CX![]) -> bool {
+    fn process_first_packet(&mut self, cx: CX![]) -> bool {
         match pg::split_first_packet(&mut self.socket.input) {
             Ok(None) => false,
             Ok(Some(FirstPacket::SslRequest | FirstPacket::GssEncRequest)) => {
@@ -252,15 +262,15 @@
                 false
             }
             Err(error) => {
-                self.fatal(cx, error.code(), &error.to_string());
+                self.send_fatal(cx, error.code(), &error.to_string());
                 false
             }
         }
     }
 
     fn start(&mut self, cx: CX![], minor: u16, parameters: Vec<(String, String)>) {
-        if self.refused {
-            self.fatal(cx, "53300", "sorry, too many clients already");
+        if self.over_limit {
+            self.send_fatal(cx, "53300", "sorry, too many clients already");
             return;
         }
         let mut unsupported = Vec::new();
@@ -275,12 +285,12 @@
                         start.parameters.extend(options);
                     }
                     Err(error) => {
-                        self.fatal(cx, "42601", &error.to_string());
+                        self.send_fatal(cx, "42601", &error.to_string());
                         return;
                     }
                 },
                 "replication" => {
-                    self.fatal(cx, "0A000", "replication connections are not supported");
+                    self.send_fatal(cx, "0A000", "replication connections are not supported");
                     return;
                 }
                 option if option.starts_with("_pq_.") => unsupported.push(name),
@@ -294,7 +304,7 @@
             }
         }
         let Some(user) = user.filter(|user| !user.is_empty()) else {
-            self.fatal(cx, "28000", "no PostgreSQL user name specified in startup packet");
+            self.send_fatal(cx, "28000", "no PostgreSQL user name specified in startup packet");
             return;
         };
         if !has_database {
@@ -310,12 +320,12 @@
     }
 
     /// Handles the next message; returns whether there may be another one to handle.
-    fn next_message(&mut self, cx: CX![]) -> bool {
+    fn process_next_message(&mut self, cx: CX![]) -> bool {
         let frame = match FrameSplitter::new(self.request_limit).split(&mut self.socket.input) {
             Ok(Some(frame)) => frame,
             Ok(None) => return false,
             Err(error) => {
-                self.fatal(cx, error.code(), &error.to_string());
+                self.send_fatal(cx, error.code(), &error.to_string());
                 return false;
             }
         };
@@ -329,7 +339,7 @@
                 if self.message_bytes > self.request_limit {
                     let limit = self.request_limit;
                     let message = format!("a request of more than {limit} bytes is not accepted");
-                    self.fatal(cx, "54000", &message);
+                    self.send_fatal(cx, "54000", &message);
                     return false;
                 }
                 self.messages.push(frame);
@@ -351,7 +361,7 @@
                 // A statement survives the Sync that ends the request at the backend server; a portal
                 // does not.
                 if self.messages.iter().any(is_portal_message) {
-                    self.fatal(cx, "0A000", "Flush after Bind or Execute is not supported");
+                    self.send_fatal(cx, "0A000", "Flush after Bind or Execute is not supported");
                     return false;
                 }
                 self.extended_request(cx, true)
@@ -363,7 +373,7 @@
             // Left over from a COPY that was refused.
             kind::COPY_DATA | kind::COPY_DONE | kind::COPY_FAIL => true,
             kind::FUNCTION_CALL => {
-                self.fatal(cx, "0A000", "the function call protocol is not supported");
+                self.send_fatal(cx, "0A000", "the function call protocol is not supported");
                 false
             }
             other => {
@@ -371,7 +381,7 @@
                     kind::QUERY => "a simple query before the Sync of extended messages".to_owned(),
                     _ => format!("invalid frontend message type {other}"),
                 };
-                self.fatal(cx, "08P01", &message);
+                self.send_fatal(cx, "08P01", &message);
                 false
             }
         }
@@ -382,9 +392,9 @@
             Ok(text) => {
                 let text = Arc::from(text);
                 self.statements.simple_query();
-                self.submit(cx, RequestKind::Simple, text, frame.bytes, false);
+                self.submit_request(cx, RequestKind::Simple, text, frame.bytes, false);
             }
-            Err(error) => self.fatal(cx, "08P01", &error.to_string()),
+            Err(error) => self.send_fatal(cx, "08P01", &error.to_string()),
         }
         false
     }
@@ -395,17 +405,24 @@
         match self.statements.rewrite(&messages) {
             Ok(request) => {
                 let text = Arc::from(request.text);
-                self.submit(cx, RequestKind::Extended, text, request.frames, flush);
+                self.submit_request(cx, RequestKind::Extended, text, request.frames, flush);
             }
-            Err(error) => self.fatal(cx, error.code(), &error.to_string()),
+            Err(error) => self.send_fatal(cx, error.code(), &error.to_string()),
         }
         false
     }
 
-    fn submit(&mut self, cx: CX![], kind: RequestKind, text: Arc<str>, frames: Bytes, flush: bool) {
+    fn submit_request(
+        &mut self,
+        cx: CX![],
+        kind: RequestKind,
+        text: Arc<str>,
+        frames: Bytes,
+        flush: bool,
+    ) {
         self.state = SessionState::Busy { flush };
         self.request += 1;
-        self.failed = false;
+        self.request_failed = false;
         let request = CallerRequest { kind, text, frames };
         call!([self.driver, cx], request_arrived(self.id, self.request, request));
     }
@@ -417,7 +434,7 @@
     }
 
     /// Sends a fatal error and closes the connection after it.
-    fn fatal(&mut self, cx: CX![], code: &str, message: &str) {
+    fn send_fatal(&mut self, cx: CX![], code: &str, message: &str) {
         if matches!(self.state, SessionState::Closing) {
             return;
         }
@@ -433,11 +450,11 @@
         if self.scanner.is_between_frames() {
             self.push(cx, output, ChunkPermit::free());
         }
-        after!(LINGER, [cx], end_linger());
+        after!(CLOSING_TIMEOUT, [cx], closing_timed_out());
         self.flush(cx);
     }
 
-    fn end_linger(&mut self, cx: CX![]) {
+    fn closing_timed_out(&mut self, cx: CX![]) {
         self.end(cx);
     }
 
@@ -451,7 +468,7 @@
         for (name, value) in &parameters {
             pg::put_parameter_status(&mut output, name, value);
         }
-        pg::put_backend_key(&mut output, self.process, self.secret);
+        pg::put_backend_key(&mut output, self.process_id, self.secret);
         pg::put_ready(&mut output, self.transaction);
         self.push(cx, output.freeze(), ChunkPermit::free());
         self.state = SessionState::Idle;
@@ -463,12 +480,12 @@
         if self.state == SessionState::Closing {
             return;
         }
-        self.last_error = error;
-        let elapsed = self.answered.map(|at| cx.now().saturating_duration_since(at));
-        match elapsed.and_then(|elapsed| CLOSE_PAUSE.checked_sub(elapsed)) {
+        self.close_error = error;
+        let elapsed = self.answered_at.map(|at| cx.now().saturating_duration_since(at));
+        match elapsed.and_then(|elapsed| CLOSE_DELAY.checked_sub(elapsed)) {
             // A caller that has sent its next message has read the answer.
             Some(left) if self.state == SessionState::Idle && self.socket.input.is_empty() => {
-                self.state = SessionState::Pausing;
+                self.state = SessionState::ClosePending;
                 after!(left, [cx], close_now());
             }
             _ => self.close_now(cx),
@@ -479,8 +496,8 @@
         if self.state == SessionState::Closing {
             return;
         }
-        match self.last_error.take() {
-            Some(error) => self.fatal(cx, &error.code, &error.message),
+        match self.close_error.take() {
+            Some(error) => self.send_fatal(cx, &error.code, &error.message),
             None => self.close_after(cx, Bytes::new()),
         }
     }
@@ -495,9 +512,9 @@
     }
 
     fn scan(&mut self, bytes: &[u8]) {
-        let Session { scanner, statements, failed, .. } = self;
+        let ClientSession { scanner, statements, request_failed, .. } = self;
         scanner.scan(bytes, |answer_kind| {
-            *failed |= answer_kind == kind::ERROR;
+            *request_failed |= answer_kind == kind::ERROR;
             statements.answered(answer_kind);
         });
     }
@@ -538,13 +555,13 @@
             TransactionState::Failed => b'E',
         };
         if flush {
-            self.skip_to_sync = self.failed;
+            self.skip_to_sync = self.request_failed;
         } else {
             pg::put_ready(&mut output, self.transaction);
         }
         self.push(cx, output.freeze(), ChunkPermit::free());
         self.state = SessionState::Idle;
-        self.answered = Some(cx.now());
+        self.answered_at = Some(cx.now());
         self.process(cx);
         self.read(cx);
     }
@@ -559,7 +576,7 @@
                 SessionState::Opening => "opening",
                 SessionState::Idle => "idle",
                 SessionState::Busy { .. } => "busy",
-                SessionState::Pausing | SessionState::Closing => "closing",
+                SessionState::ClosePending | SessionState::Closing => "closing",
             },
             "requests": self.request,
             "buffer_bytes": self.socket.buffer_bytes() + self.message_bytes,
