--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,9 +1,9 @@
-//! The actor that owns the node and carries out its actions.
+//! The actor that owns the node state machine and executes its actions.
 //!
-//! Sessions, connections, peers, threads and timers report what happened; the driver passes it to the
-//! node as an event with the loop's time and carries out the actions in order. It also owns every
-//! other actor, so that dropping an entry of its tables releases all that the entry held.
-//! The modules below hold its work by neighbour: callers, backend servers, peers, and control.
+//! Sessions, connections, peers, threads and timers report to the driver, which passes each report to
+//! the node as an event with the loop's time and executes the resulting actions in order. It also owns
+//! every other actor, so that dropping an entry of its tables releases everything the entry held.
+//! The submodules handle clients, backend servers, peers, and the platform with operators' requests.
 
 mod backends;
 mod clients;
@@ -35,62 +35,62 @@
 use crate::session::ClientSession;
 use crate::socket::{ScratchBuffer, new_scratch};
 
-/// Time for a heartbeat; a node sends one a second.
+/// Timeout of a heartbeat. A node sends one a second.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for pulling a table or document.
+/// Timeout for pulling the member table or a document from a peer.
 const PULL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for a view. A promotion waits for views no longer than 0.3 s.
+/// Timeout of a view call. A promotion waits for views no longer than 0.3 s.
 const VIEW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time beyond a request's deadline that its forwarded call may take: the acknowledgement of its
-/// commit (3 s) and the way back.
+/// Time beyond a request's deadline that its forwarded call may take: up to 3 s until its commit is
+/// acknowledged, and the transfer of the answer.
 const FORWARD_GRACE: Duration = Duration::from_secs(5);
 
-/// Interval of closing idle connections to peers and of sending metrics.
+/// Interval at which idle peer connections are closed, configured peers probed and metrics sent.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Peers of the settings that are asked at once.
+/// Configured peers that are sent a heartbeat at once.
 const PEER_PROBE_COUNT: usize = 4;
 
-/// Connections beyond the caller limit that are kept to tell their callers so.
+/// Connections beyond `caller_limit` that stay open to receive the error that says so.
 const REFUSED_CONNECTION_LIMIT: usize = 64;
 
-/// Time beyond the drain timeout after which the process ends in any case.
+/// Time after the drain timeout at which the process ends in any case.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
-/// Time for the last messages to callers after the node finished its shutdown.
+/// Time to write the last messages to clients after the node has completed its shutdown.
 const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for writing the last message of a call's answer to its peer, which a task of this thread does: some
-/// turns of the loop beside load.
+/// Time to write the last message of a call's answer to its peer. A task of this thread writes it, which
+/// takes some iterations of the loop under load.
 const FINAL_REPLY_GRACE: Duration = Duration::from_millis(50);
 
-/// Silence after which a caller's connection is probed, and the time between probes.
+/// Idle time after which a client connection is probed, and the interval between probes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Pause after a failed accept, such as when the process has too many open files.
+/// Delay after a failed accept, for example when the process has too many open files.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Database name of report connections. The functions belong to the server and not to a cluster's
-/// tables, and every server has this database.
+/// Database name of report connections. The report functions belong to the server rather than to a
+/// cluster's tables, and every server has this database.
 const REPORT_DATABASE: &str = "postgres";
 
-/// Rows of each table in the state dump.
+/// Maximum number of sessions, and of backend connections, in the state dump.
 const DUMP_ROW_LIMIT: usize = 200;
 
 struct SessionEntry {
     session: ActorOwn<ClientSession>,
     secret: i32,
-    /// Number of the request in progress or of the last one.
+    /// Number of the request in progress, or of the last one.
     request: u64,
 }
 
 struct ExchangeEntry {
     connection: ConnectionId,
-    /// The node's decision, if it was made before the end of the run arrived here.
+    /// The node's relay decision, if it arrived before the end of the exchange.
     relayed: Option<bool>,
 }
 
@@ -110,7 +110,7 @@
     pub(crate) seed: u64,
 }
 
-/// Owner of the node and of all actors.
+/// Owns the node and all other actors.
 pub(crate) struct IoDriver {
     node: Node,
     settings: NodeSettings,
@@ -118,14 +118,14 @@
     actions: VecDeque<NodeAction>,
     client_listener: Option<MioSource<TcpListener>>,
     peer_listener: MioSource<TcpListener>,
-    // Dropped before the server, so that requests not yet seen end at once.
+    // Dropped before the server, so that requests that are still queued fail at once.
     _admin_channel: ChannelGuard,
     _admin: AdminServer,
     scratch: ScratchBuffer,
     pool: TaskPool,
     peer_clients: PeerClients,
     call_ids: CallIds,
-    /// Index of the settings' peer to ask next.
+    /// Index of the configured peer to probe next.
     next_peer: usize,
     next_session: u64,
     sessions: FastMap<SessionId, SessionEntry>,
@@ -134,22 +134,22 @@
     answer_targets: FastMap<RunId, AnswerTarget>,
     held_answers: FastMap<RunId, HeldEntry>,
     report_connections: FastMap<Name, (SocketAddress, ActorOwn<ReportConnection>)>,
-    /// Calls of peers in progress here.
+    /// Calls from peers that are in progress here.
     peer_calls: FastMap<CallId, mpsc::UnboundedSender<AnswerPart>>,
-    /// Calls to peers in progress, and whether a part of the answer was relayed.
+    /// Calls to peers that are in progress, and whether a part of the answer has been relayed.
     forwards: FastMap<CallId, (CallGuard, Rc<Cell<bool>>)>,
-    /// Connections that are pinned at peers.
+    /// Handles of the backend connections that are pinned at peers for a session.
     lanes: FastMap<LaneId, LaneHandle>,
     platform_threads: PlatformThreads,
     counters: CounterSet,
-    /// When the armed timer fires, on the node's clock.
+    /// The armed timer and when it fires on the node's clock.
     timer: Option<(Micros, stakker::FixedTimerKey)>,
     draining: bool,
     finished: bool,
 }
 
 impl IoDriver {
-    /// Starts to serve.
+    /// Registers the listeners and starts the node.
     pub(crate) fn init(cx: CX![], setup: DriverSetup) -> Option<Self> {
         let DriverSetup {
             settings,
@@ -224,7 +224,7 @@
         Micros(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Passes an event to the node and carries out its actions.
+    /// Passes an event to the node and executes the resulting actions.
     pub(crate) fn node_event(&mut self, cx: CX![], event: NodeEvent) {
         let now = self.now(cx);
         let mut actions = Vec::new();
@@ -239,7 +239,7 @@
     fn arm_timer(&mut self, cx: CX![]) {
         let Some(next) = self.node.next_timer() else { return };
         if let Some((armed, key)) = &self.timer {
-            // A timer that fires too early is cheaper than moving it with every event.
+            // Letting a timer fire too early is cheaper than moving it with every event.
             if *armed <= next {
                 return;
             }
@@ -270,17 +270,17 @@
         after!(SWEEP_INTERVAL, [cx], sweep());
     }
 
-    /// Sends heartbeats to the settings' peers while this node knows no live member. The member table
-    /// does the rest once one has answered.
+    /// Sends heartbeats to the configured peers while this node knows no live member. Once one has
+    /// answered, the member table names the others.
     fn probe_configured_peers(&mut self, cx: CX![]) {
         if self.settings.peers.is_empty() {
             return;
         }
         let own = &self.settings.name;
-        let found = |member: &MemberInfo| {
+        let is_live_peer = |member: &MemberInfo| {
             member.name != *own && matches!(member.state, MemberState::Alive | MemberState::Leaving)
         };
-        if self.node.members().iter().any(found) {
+        if self.node.members().iter().any(is_live_peer) {
             return;
         }
         let Some(heartbeat) = self.node.heartbeat() else { return };
@@ -331,7 +331,7 @@
                 if let Some(backend) = self.backends.remove(&connection) {
                     self.remove_exchanges(connection);
                     call!([backend, cx], close());
-                    // Keeps the actor until the call is carried out.
+                    // Keeps the actor alive until the call has been executed.
                     cx.defer(move |_| drop(backend));
                 }
             }
@@ -394,7 +394,7 @@
     }
 }
 
-/// Turns the result of a call to a peer into an event for the driver.
+/// Returns a callback that passes the result of a peer call to the driver as an event.
 fn event_on_reply<T: 'static>(
     driver: Actor<IoDriver>,
     event: impl FnOnce(Result<T, PeerCallError>) -> Option<NodeEvent> + 'static,
@@ -411,16 +411,16 @@
     matches!(error.kind(), std::io::ErrorKind::Interrupted | std::io::ErrorKind::ConnectionAborted)
 }
 
-/// Mask of the session id's part in the process number of `BackendKeyData`, which is not negative.
+/// Bits of the session id that the process id of `BackendKeyData` carries; it must not be negative.
 const PROCESS_ID_MASK: u64 = 0x7fff_ffff;
 
 fn process_id(session: SessionId) -> i32 {
     (session.0 & PROCESS_ID_MASK) as i32
 }
 
-/// Returns the ids that a process number can stand for, the newest first.
-fn session_candidates(process: i32, next: u64) -> impl Iterator<Item = SessionId> {
-    let low = u64::from(process as u32) & PROCESS_ID_MASK;
+/// Returns the session ids that a process id can stand for, the newest first.
+fn session_candidates(process_id: i32, next: u64) -> impl Iterator<Item = SessionId> {
+    let low = u64::from(process_id as u32) & PROCESS_ID_MASK;
     let newest = (next & !PROCESS_ID_MASK) | low;
     [Some(newest), newest.checked_sub(PROCESS_ID_MASK + 1)].into_iter().flatten().map(SessionId)
 }
--- a/crates/daemon/src/driver/backends.rs
+++ b/crates/daemon/src/driver/backends.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: runs, the way of their answers, and report requests.
+//! Connections to backend servers: exchanges, the relaying of their answers, and report requests.
 
 use admit::ConnectionId;
 use bytes::Bytes;
@@ -34,7 +34,7 @@
         mode: RelayMode,
     ) {
         let Some(backend) = self.backends.get(&connection) else {
-            // Its loss is already on the way to the node.
+            // The event that reports its loss is already queued for the node.
             return;
         };
         let target = match mode {
@@ -83,14 +83,14 @@
         });
     }
 
-    /// A connection is ready.
+    /// Called when a connection is ready.
     pub(crate) fn backend_opened(&mut self, cx: CX![], connection: ConnectionId) {
         if self.backends.contains_key(&connection) {
             self.node_event(cx, NodeEvent::BackendOpened { connection });
         }
     }
 
-    /// A connection could not be opened or was lost.
+    /// Called when a connection could not be opened or was lost.
     pub(crate) fn backend_lost(&mut self, cx: CX![], connection: ConnectionId, message: String) {
         if self.backends.remove(&connection).is_some() {
             self.remove_exchanges(connection);
@@ -98,21 +98,21 @@
         }
     }
 
-    /// The first part of an answer arrived in mode `Decide`.
+    /// Called when the first part of an answer arrives in mode [`RelayMode::Decide`].
     pub(crate) fn exchange_started(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
         if self.exchanges.contains_key(&run) {
             self.node_event(cx, NodeEvent::RunStarted { connection, run });
         }
     }
 
-    /// Rows of a held answer went out.
+    /// Called when rows of a held answer have been relayed.
     pub(crate) fn held_rows_relayed(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
         if self.exchanges.contains_key(&run) {
             self.node_event(cx, NodeEvent::HeldRowsRelayed { connection, run });
         }
     }
 
-    /// The answer of a run is complete.
+    /// Called when the answer of an exchange is complete.
     pub(crate) fn exchange_finished(
         &mut self,
         cx: CX![],
@@ -146,12 +146,14 @@
         request: ReportRequest,
     ) {
         let current =
-            self.report_connections.get(&database).is_some_and(|(held, _)| *held == address);
+            self.report_connections.get(&database).is_some_and(|(open, _)| *open == address);
         if !current {
             let stream = match TcpStream::connect(rpc::dial_address(address)) {
                 Ok(stream) => stream,
                 Err(error) => {
-                    log::debug!("failed to connect database={database} error={error}");
+                    log::debug!(
+                        "failed to open a report connection database={database} error={error}"
+                    );
                     call!([cx], node_event(NodeEvent::ReportFailed { id }));
                     return;
                 }
@@ -173,7 +175,7 @@
         }
     }
 
-    /// A report connection failed with these requests in progress.
+    /// Called when a report connection failed; `ids` are the requests that were in progress.
     pub(crate) fn report_connection_lost(
         &mut self,
         cx: CX![],
--- a/crates/daemon/src/driver/clients.rs
+++ b/crates/daemon/src/driver/clients.rs
@@ -1,4 +1,4 @@
-//! Callers: accepting connections, passing their requests on, and closing sessions.
+//! Clients: accepting their connections, passing requests to the node, and closing sessions.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
-                    log::warn!("failed to accept a caller error={error}");
+                    log::warn!("failed to accept a client connection error={error}");
                     after!(ACCEPT_BACKOFF, [cx], accept_pending_clients());
                     return;
                 }
@@ -48,7 +48,7 @@
             return;
         }
         let secret = i32::from_be_bytes(secret);
-        // Finds callers whose VM vanished without closing the connection.
+        // Detects clients whose VM stopped without closing the connection.
         let keepalive = socket2::TcpKeepalive::new()
             .with_time(KEEPALIVE_IDLE)
             .with_interval(KEEPALIVE_INTERVAL);
@@ -73,7 +73,7 @@
         self.sessions.insert(id, SessionEntry { session, secret, request: 0 });
     }
 
-    /// A caller sent its next request.
+    /// Called when a client has sent its next request.
     pub(crate) fn request_arrived(
         &mut self,
         cx: CX![],
@@ -87,9 +87,9 @@
         }
     }
 
-    /// A cancel request arrived. One that does not match a session's secret is ignored.
-    pub(crate) fn cancel_arrived(&mut self, cx: CX![], process: i32, secret: Bytes) {
-        let session = session_candidates(process, self.next_session).find(|id| {
+    /// Handles a cancel request, which is ignored unless it matches a session's process id and secret.
+    pub(crate) fn cancel_arrived(&mut self, cx: CX![], process_id: i32, secret: Bytes) {
+        let session = session_candidates(process_id, self.next_session).find(|id| {
             self.sessions.get(id).is_some_and(|entry| secret[..] == entry.secret.to_be_bytes())
         });
         match session {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A caller's connection is over.
+    /// Called when a client's connection has ended.
     pub(crate) fn session_ended(&mut self, cx: CX![], session: SessionId) {
         if self.sessions.remove(&session).is_some() {
             self.counters.add("sessions.closed", 1);
--- a/crates/daemon/src/driver/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -1,4 +1,4 @@
-//! Platform answers, operators' requests, and the end of the process.
+//! Answers of the platform, operators' requests, and shutdown.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
         }
     }
 
-    /// A call about a record was answered.
+    /// Called when the platform has answered a call about a cluster's record.
     pub(crate) fn record_answered(&mut self, cx: CX![], answer: node::PlatformAnswer) {
         self.platform_threads.record_answered();
         self.platform_answered(cx, answer);
     }
 
-    /// A watch returned.
+    /// Passes an answer of the platform to the node.
     pub(crate) fn platform_answered(&mut self, cx: CX![], answer: node::PlatformAnswer) {
         self.node_event(cx, NodeEvent::PlatformAnswered(answer));
     }
 
-    // Operators and the process.
+    // Operators' requests and shutdown.
 
     pub(super) fn admin_request(&mut self, cx: CX![], request: AdminRequest) {
         let AdminRequest { call, reply } = request;
@@ -54,7 +54,7 @@
         let _ = reply.send(answer);
     }
 
-    /// Collects the descriptions of other actors, then answers.
+    /// Collects the descriptions of the session and backend actors, then answers.
     pub(super) fn dump(&mut self, cx: CX![], reply: std::sync::mpsc::Sender<serde_json::Value>) {
         let rows = std::rc::Rc::new(std::cell::RefCell::new((Vec::new(), Vec::new())));
         for entry in self.sessions.values().take(DUMP_ROW_LIMIT) {
@@ -129,21 +129,21 @@
 
     pub(super) fn shutdown_complete(&mut self, cx: CX![]) {
         self.finished = true;
-        // Closes the port, so that new callers go to another node.
+        // Closes the port, so that new clients connect to another node.
         self.client_listener = None;
-        after!(FINAL_FLUSH_TIMEOUT, [cx], final_flush_timed_out());
+        after!(FINAL_FLUSH_TIMEOUT, [cx], stop_process());
         call!([cx], finish_if_empty());
     }
 
-    pub(super) fn final_flush_timed_out(&mut self, cx: CX![]) {
+    pub(super) fn stop_process(&mut self, cx: CX![]) {
         cx.shutdown(StopCause::Stopped);
     }
 
     pub(super) fn finish_if_empty(&mut self, cx: CX![]) {
         if self.finished && self.sessions.is_empty() && self.call_ids.unfinished() == 0 {
             self.counters.flush();
-            // The last message of an answer to a peer may not be written yet.
-            after!(FINAL_REPLY_GRACE, [cx], final_flush_timed_out());
+            // The last message of an answer to a peer may not have been written yet.
+            after!(FINAL_REPLY_GRACE, [cx], stop_process());
         }
     }
 }
--- a/crates/daemon/src/driver/peers.rs
+++ b/crates/daemon/src/driver/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: accepting their connections, calls to them, and calls that arrive.
+//! Peers: accepting their connections, calls to them, and calls from them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -34,14 +34,16 @@
                             rpc::serve_peer(&self.pool, stream, requests, self.call_ids.clone());
                         }
                         Err(error) => {
-                            log::warn!("failed to serve a peer address={address} error={error}");
+                            log::warn!(
+                                "failed to register a peer connection address={address} error={error}"
+                            );
                         }
                     }
                 }
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
-                    log::warn!("failed to accept a peer error={error}");
+                    log::warn!("failed to accept a peer connection error={error}");
                     after!(ACCEPT_BACKOFF, [cx], accept_pending_peers());
                     return;
                 }
@@ -94,7 +96,7 @@
             NodeAction::AnswerForward { call, reply, lane } => {
                 self.discard_held(AnswerTarget::Call(call));
                 if let Some(answers) = self.peer_calls.remove(&call) {
-                    // Fails if the peer gave up, which the node learns on its own.
+                    // Fails if the peer dropped the call, of which the node gets an event of its own.
                     let _ = answers.unbounded_send(AnswerPart::End(reply, lane));
                 }
             }
@@ -112,7 +114,7 @@
         session: SessionId,
         address: SocketAddress,
         lane: Option<LaneId>,
-        work: &WorkRequest,
+        request: &WorkRequest,
     ) {
         let sink = self.answer_sink(AnswerTarget::Session(session));
         let deferrer = cx.deferrer();
@@ -131,15 +133,15 @@
                 call!([deferred, stakker], forward_answered(call, lane, result))
             });
         };
-        let timeout = Duration::from_micros(work.time_left.0.min(3_600_000_000)) + FORWARD_GRACE;
+        let timeout = Duration::from_micros(request.time_left.0.min(3_600_000_000)) + FORWARD_GRACE;
         let guard = match lane {
             None => {
                 let name = self.settings.name.clone();
-                self.peer_clients.execute(cx, address, &name, work, timeout, chunks, done)
+                self.peer_clients.execute(cx, address, &name, request, timeout, chunks, done)
             }
             Some(lane) => match self.lanes.get(&lane) {
                 Some(lane) => {
-                    self.peer_clients.execute_on_lane(cx, lane, work, timeout, chunks, done)
+                    self.peer_clients.execute_on_lane(cx, lane, request, timeout, chunks, done)
                 }
                 None => {
                     let event = NodeEvent::ForwardFailed { call, sent: false };
@@ -198,7 +200,7 @@
             PeerRequest::Heartbeat { heartbeat, reply } => {
                 self.node_event(cx, NodeEvent::HeartbeatArrived(heartbeat));
                 if let Some(heartbeat) = self.node.heartbeat() {
-                    // The peer may have given up; then there is nobody to answer.
+                    // Fails if the peer has dropped the call.
                     let _ = reply.send(heartbeat);
                 }
             }
