--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -1,8 +1,8 @@
-//! A connection to a backend server that runs callers' requests.
+//! A connection to a backend server that executes clients' requests.
 //!
-//! Rows pass from this actor to the session or peer without a detour over the node. The [`RelayMode`]
-//! of a run says what is held back until the node has decided. The socket is not read while the
-//! answer's window is full or while an undecided answer fills its buffer.
+//! Rows pass from this actor directly to the session or peer, bypassing the node. The [`RelayMode`]
+//! of an exchange says what is held back until the node has decided. The socket is not read while the
+//! answer's relay window is full or while an undecided answer fills its buffer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,19 +23,19 @@
 use crate::relay::{AnswerSink, RelayWindow};
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
-/// Bytes of an answer that are held back at most.
+/// Maximum size of the part of an answer that is held back.
 pub(crate) const HELD_LIMIT_BYTES: usize = 256 * 1024;
 
-/// Prepared statements of one connection.
+/// Maximum number of prepared statements on one connection.
 const STATEMENT_LIMIT: usize = 256;
 
-/// Bytes that one read takes, so that one connection does not keep the loop.
+/// Maximum number of bytes in one read, so that one connection does not occupy the loop.
 const READ_LIMIT_BYTES: usize = 128 * 1024;
 
-/// Time to open a connection.
+/// Timeout for opening a connection, including the start-up handshake.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What opening a connection needs.
+/// Parameters of a new connection.
 pub(crate) struct BackendSetup {
     pub(crate) id: ConnectionId,
     pub(crate) address: SocketAddress,
@@ -45,23 +45,23 @@
     pub(crate) scratch: ScratchBuffer,
 }
 
-/// An answer that waits for the node's decision after its run ended.
+/// An answer that awaits the node's decision after its exchange has ended.
 pub(crate) struct HeldAnswer {
     pub(crate) sink: AnswerSink,
     pub(crate) bytes: Bytes,
 }
 
-/// What happens to the next part of the answer.
+/// What to do with the next part of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OutputPolicy {
     Drop,
     /// Everything is held until the node decides.
     Undecided,
-    /// Everything is held up to the bound.
+    /// Everything is held, up to [`HELD_LIMIT_BYTES`].
     HoldAll,
     /// Rows are relayed, the completion is held.
     HoldCompletion,
-    /// The completion was held, and so is what follows.
+    /// The completion is held, and so is everything that follows it.
     HoldRest,
     Relay,
 }
@@ -74,18 +74,18 @@
     held: BytesMut,
     output_started: bool,
     summary: RunSummary,
-    /// Bytes of a large frame that are still to be passed on.
+    /// Bytes of a large frame that have not been passed on yet.
     large_frame_left: usize,
-    /// The backend server began a COPY, which is refused.
+    /// The backend server started a COPY, which is refused.
     copy_refused: bool,
-    /// The run uses the extended protocol.
+    /// The request uses the extended query protocol.
     extended: bool,
-    /// A statement of the run is complete.
+    /// At least one statement of the request has completed.
     statement_completed: bool,
 }
 
-/// State of the cancel request for the active run. A late one would hit the next run, so the end of
-/// the run is reported only when the cancel request is over.
+/// State of the cancel request for the active exchange. A cancel request that arrives late would hit
+/// the next exchange, so the end of the exchange is reported only after the cancel request has ended.
 #[derive(Debug, PartialEq, Eq)]
 enum CancelState {
     None,
@@ -98,7 +98,7 @@
     Opening(ServerHandshake),
     Idle,
     Running(Box<ActiveExchange>),
-    /// The answer is complete, a cancel request is under way.
+    /// The answer is complete, but a cancel request is still in progress.
     Ending(Box<ActiveExchange>),
 }
 
@@ -119,7 +119,7 @@
 }
 
 impl BackendConnection {
-    /// Begins to open a connection.
+    /// Starts to open a connection.
     pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: BackendSetup) -> Option<Self> {
         let BackendSetup { id, address, user, catalog, pool, scratch } = setup;
         let poll: MioPoll = cx.anymap_get();
@@ -155,7 +155,7 @@
 
     fn check_open_timeout(&mut self, cx: CX![]) {
         if matches!(self.state, BackendState::Opening(_)) {
-            self.report_loss(cx, format!("no connection to {} in time", self.address));
+            self.report_loss(cx, format!("timed out opening a connection to {}", self.address));
         }
     }
 
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Reports the loss once; the driver then drops this actor.
+    /// Reports the loss of the connection once; the driver then drops this actor.
     fn report_loss(&mut self, cx: CX![], message: String) {
         if !self.ended {
             self.ended = true;
@@ -200,7 +200,7 @@
         if self.ended || self.is_paused() {
             return;
         }
-        // A frame that is read whole may need more than one read.
+        // A frame that is parsed as a whole may need more than one read.
         let limit = self.socket.input.len() + READ_LIMIT_BYTES;
         let outcome = self.socket.fill(limit);
         if let Err(message) = self.process(cx) {
@@ -253,7 +253,7 @@
         Ok(())
     }
 
-    /// Handles the next part of an answer; returns whether there may be another.
+    /// Processes the next part of an answer; returns whether there may be another.
     fn process_answer(&mut self, cx: CX![]) -> Result<bool, String> {
         let BackendState::Running(active) = &mut self.state else { return Ok(false) };
         let input = &mut self.socket.input;
@@ -266,7 +266,7 @@
             self.emit(cx, bytes)?;
             return Ok(true);
         }
-        // Joins whole frames that need no look into one part.
+        // Joins consecutive frames that are relayed unparsed into one part.
         let mut passthrough = 0;
         while let Some((next, length)) =
             pg::peek_header(&input[passthrough..]).map_err(|error| error.to_string())?
@@ -323,7 +323,8 @@
             kind::ERROR => {
                 let error = pg::read_error(frame.body()).map_err(invalid)?;
                 if error.severity == "FATAL" || error.severity == "PANIC" {
-                    // Not the caller's connection ends, so the caller gets an error of the node.
+                    // Only the backend connection ends, not the client's, so the node reports the
+                    // error.
                     return Err(format!(
                         "{} ended the connection: {} (SQLSTATE {})",
                         self.address, error.message, error.code
@@ -350,7 +351,9 @@
                 self.flush(cx);
             }
             kind::COPY_OUT => active.copy_refused = true,
-            kind::COPY_BOTH => return Err("the backend server began a replication".to_owned()),
+            kind::COPY_BOTH => {
+                return Err("the backend server started a replication stream".to_owned());
+            }
             kind::COPY_DATA | kind::COPY_DONE | kind::NOTIFICATION => {}
             kind::READY => {
                 let status = pg::read_ready(frame.body()).map_err(invalid)?;
@@ -379,7 +382,7 @@
         self.emit_completion(cx, output.freeze())
     }
 
-    /// Passes on a part that ends a statement.
+    /// Passes on the part of an answer that ends a statement.
     fn emit_completion(&mut self, cx: CX![], bytes: Bytes) -> Result<(), String> {
         if let BackendState::Running(active) = &mut self.state {
             let first = !std::mem::replace(&mut active.statement_completed, true);
@@ -403,7 +406,7 @@
         let BackendState::Running(active) = &mut self.state else { return Ok(()) };
         if !active.output_started {
             active.output_started = true;
-            // The node decides about an answer that begins with an error when it is complete.
+            // If the answer begins with an error, the node decides once the answer is complete.
             let is_error = bytes.first() == Some(&kind::ERROR);
             if active.policy == OutputPolicy::Undecided && !is_error {
                 call!([self.driver, cx], exchange_started(self.id, active.id));
@@ -452,7 +455,10 @@
                 };
                 call!([self.driver, cx], exchange_finished(self.id, run, summary, held));
                 if self.cancel == CancelState::Failed {
-                    self.report_loss(cx, "a cancel request may still be on its way".to_owned());
+                    self.report_loss(
+                        cx,
+                        "a cancel request failed and may still take effect".to_owned(),
+                    );
                 }
                 self.cancel = CancelState::None;
             }
@@ -460,7 +466,7 @@
         }
     }
 
-    /// Sends frames; the answer goes to `sink` as `mode` says.
+    /// Sends the frames of a request; `mode` says how the answer goes to `sink`.
     pub(crate) fn start_exchange(
         &mut self,
         cx: CX![],
@@ -470,7 +476,7 @@
         sink: Option<AnswerSink>,
     ) {
         if !matches!(self.state, BackendState::Idle) || self.ended {
-            // The node runs one request at a time, so this is a connection that was just lost.
+            // The node starts one exchange at a time, so the connection has just been lost.
             self.report_loss(cx, "the connection is not idle".to_owned());
             return;
         }
@@ -498,7 +504,7 @@
         self.flush(cx);
     }
 
-    /// Carries out the node's decision about the active run.
+    /// Applies the node's decision on the answer of the active exchange.
     pub(crate) fn apply_relay_decision(&mut self, cx: CX![], run: RunId, relayed: bool) {
         let active = match &mut self.state {
             BackendState::Running(active) | BackendState::Ending(active) => active,
@@ -517,7 +523,7 @@
         call!([cx], resume());
     }
 
-    /// Asks the backend server to cancel the active run.
+    /// Asks the backend server to cancel the active exchange.
     pub(crate) fn cancel(&mut self, cx: CX![], run: RunId) {
         let BackendState::Running(active) = &self.state else { return };
         if active.id != run || self.cancel != CancelState::None {
@@ -539,12 +545,13 @@
         }
     }
 
-    /// Says goodbye; the driver drops the actor afterwards.
+    /// Sends a Terminate message; the driver then drops the actor.
     pub(crate) fn close(&mut self, cx: CX![]) {
         let mut output = BytesMut::new();
         pg::put_terminate(&mut output);
         self.socket.push(output.freeze(), rpc::ChunkPermit::free());
-        // The socket is dropped next; a terminate message that does not fit is not missed.
+        // The socket is dropped next, so a Terminate message that cannot be written is lost without
+        // harm.
         let _ = self.socket.flush();
         self.ended = true;
         cx.stop();
@@ -574,7 +581,7 @@
     FrameSplitter::new(SERVER_MESSAGE_LIMIT).split(input).map_err(|error| error.to_string())
 }
 
-/// Tells whether a message goes to the caller without a look into it.
+/// Returns whether a message is relayed without being parsed.
 fn is_passthrough(next: u8, active: &ActiveExchange) -> bool {
     match next {
         kind::DATA_ROW => !active.collect_first_row && !active.copy_refused,
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,9 +1,10 @@
 //! The actor that owns the node state machine and executes its actions.
 //!
 //! Sessions, connections, peers, threads and timers report to the driver, which passes each report to
-//! the node as an event with the loop's time and executes the resulting actions in order. It also owns
-//! every other actor, so that dropping an entry of its tables releases everything the entry held.
-//! The submodules handle clients, backend servers, peers, and the platform with operators' requests.
+//! the node as an event with the loop's time and executes the resulting actions in order. It also
+//! owns every other actor, so that dropping an entry of its tables releases everything the entry
+//! held. The submodules handle clients, backend servers, peers, and the platform with operators'
+//! requests.
 
 mod backends;
 mod clients;
@@ -63,8 +64,8 @@
 /// Time to write the last messages to clients after the node has completed its shutdown.
 const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time to write the last message of a call's answer to its peer. A task of this thread writes it, which
-/// takes some iterations of the loop under load.
+/// Time to write the last message of a call's answer to its peer. A task of this thread writes it,
+/// which takes some iterations of the loop under load.
 const FINAL_REPLY_GRACE: Duration = Duration::from_millis(50);
 
 /// Idle time after which a client connection is probed, and the interval between probes.
--- a/crates/daemon/src/driver/clients.rs
+++ b/crates/daemon/src/driver/clients.rs
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Handles a cancel request, which is ignored unless it matches a session's process id and secret.
+    /// Handles a cancel request, which is ignored unless it matches a session's process id and
+    /// secret.
     pub(crate) fn cancel_arrived(&mut self, cx: CX![], process_id: i32, secret: Bytes) {
         let session = session_candidates(process_id, self.next_session).find(|id| {
             self.sessions.get(id).is_some_and(|entry| secret[..] == entry.secret.to_be_bytes())
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,10 @@
 //! `cicadawickd`: the shell that feeds a node from sockets and timers.
 //!
-//! One thread runs a stakker loop. The driver actor owns the [`node::Node`], passes it events and carries
-//! out its actions. Session and backend actors own the sockets and exchange the parts of answers
-//! directly, each with a permit that bounds what is buffered. Blocking work, which is calls to the
-//! platform and the operators' HTTP interface, has threads of its own that talk to the loop through
-//! channels.
+//! One thread runs a stakker loop. The driver actor owns the [`node::Node`], passes it events and
+//! carries out its actions. Session and backend actors own the sockets and exchange the parts of
+//! answers directly, each with a permit that bounds what is buffered. Blocking work, which is calls
+//! to the platform and the operators' HTTP interface, has threads of its own that talk to the loop
+//! through channels.
 //!
 //! The daemon never panics because of a peer: bytes from the network are read with bounds checks, and
 //! a malformed message closes only the connection that it came from.
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -1,8 +1,8 @@
 //! The report connection to one database.
 //!
 //! It is opened with the first request. Requests are sent at once and answered in order. When the
-//! connection fails or a request takes too long, all requests in progress fail and the actor ends; the
-//! next request opens a new connection.
+//! connection fails or a request takes too long, all requests in progress fail and the actor ends;
+//! the next request opens a new connection.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -30,9 +30,9 @@
 /// Time for a caller to send its start-up packet.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between an answer and the fatal error that ends the session, unless the caller sends its next message
-/// before. Drivers that read both at once report the error instead of the answer; 200 ms were too short for
-/// callers beside load.
+/// Time between an answer and the fatal error that ends the session, unless the caller sends its next
+/// message before. Drivers that read both at once report the error instead of the answer; 200 ms were
+/// too short for callers beside load.
 const CLOSE_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Time that a closing connection has to take its last message.
