--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -1,8 +1,8 @@
-//! A caller's connection.
+//! A client's connection.
 //!
-//! The actor cuts the caller's bytes into requests and passes them to the node one at a time. While
-//! one is in progress the socket is read only up to a bounded buffer. Answers arrive in chunks, each
-//! with a permit that returns the source's window when the chunk is written.
+//! The actor parses the client's bytes into requests and passes them to the node one at a time. While
+//! one is in progress, the socket is read only up to a bounded buffer. Answers arrive in chunks, each
+//! with a permit that returns its bytes to the source's relay window when the chunk is written.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,55 +21,55 @@
 use crate::driver::IoDriver;
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
-/// Bytes of pipelined requests that are read while a request is in progress.
+/// Maximum bytes of pipelined requests that are read while a request is in progress.
 const READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// Bytes that one read takes, so that one caller does not keep the loop.
+/// Maximum number of bytes in one read, so that one client does not occupy the loop.
 const READ_LIMIT_BYTES: usize = 128 * 1024;
 
-/// Time for a caller to send its start-up packet.
+/// Time in which a client must send its start-up packet.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between an answer and the fatal error that ends the session, unless the caller sends its next
-/// message before. Drivers that read both at once report the error instead of the answer; 200 ms were
-/// too short for callers beside load.
+/// Delay between an answer and the fatal error that ends the session, unless the client sends its
+/// next message first. Client drivers that read both at once report the error instead of the answer;
+/// 200 ms is too short for clients under load.
 const CLOSE_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Time that a closing connection has to take its last message.
+/// Time in which the last message of a closing connection must be written.
 const CLOSING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a new session needs.
+/// Parameters of a new session.
 pub(crate) struct SessionSetup {
     pub(crate) id: SessionId,
     pub(crate) stream: TcpStream,
     pub(crate) address: Name,
-    /// Sent in `BackendKeyData`; a cancel request must show both.
+    /// Sent in `BackendKeyData`, with `secret`; a cancel request must carry both.
     pub(crate) process_id: i32,
     pub(crate) secret: i32,
     pub(crate) request_limit: usize,
-    /// The process has too many callers.
+    /// The process has more clients than `caller_limit`, so the session is refused.
     pub(crate) over_limit: bool,
     pub(crate) scratch: ScratchBuffer,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionState {
-    /// Waits for the start-up packet.
+    /// Waiting for the start-up packet.
     Starting,
-    /// Waits for the node to accept it.
+    /// Waiting for the node to accept the session.
     Opening,
     Idle,
-    /// A request is in progress. After a Flush there is no `ReadyForQuery` at its end.
+    /// A request is in progress. One that ends at a Flush gets no `ReadyForQuery`.
     Busy {
         flush: bool,
     },
-    /// The node closes the session, a little after its last answer.
+    /// The node has closed the session; the connection closes [`CLOSE_DELAY`] after its last answer.
     ClosePending,
-    /// Only output is left.
+    /// Only writing the remaining output is left.
     Closing,
 }
 
-/// A caller's connection.
+/// A client's connection.
 pub(crate) struct ClientSession {
     id: SessionId,
     driver: Actor<IoDriver>,
@@ -80,27 +80,27 @@
     secret: i32,
     request_limit: usize,
     over_limit: bool,
-    /// Number of the request in progress or of the last one.
+    /// Number of the request in progress, or of the last one.
     request: u64,
     transaction: u8,
-    /// Extended messages of the next request.
+    /// Messages of the extended query protocol that belong to the next request.
     messages: Vec<Frame>,
     message_bytes: usize,
-    /// A request that ended at a Flush failed: messages up to the Sync are skipped.
+    /// Set after a request that ended at a Flush failed: messages up to the Sync are skipped.
     skip_to_sync: bool,
     request_failed: bool,
     statements: StatementTable,
     scanner: AnswerScanner,
     flush_scheduled: bool,
-    /// When the last answer was finished.
+    /// When the last answer was completed.
     answered_at: Option<Instant>,
-    /// What the caller is told at the end of a pause.
+    /// Error that is sent when the close delay has passed.
     close_error: Option<ErrorReply>,
     ended: bool,
 }
 
 impl ClientSession {
-    /// Starts to serve a caller.
+    /// Registers the socket and starts to read.
     pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: SessionSetup) -> Option<Self> {
         let SessionSetup {
             id,
@@ -117,7 +117,7 @@
         let socket = match BufferedSocket::new(&poll, stream, scratch, ready) {
             Ok(socket) => socket,
             Err(error) => {
-                log::warn!("failed to register a caller's socket address={address} error={error}");
+                log::warn!("failed to register a client socket address={address} error={error}");
                 call!([driver, cx], session_ended(id));
                 return None;
             }
@@ -162,7 +162,7 @@
         self.read(cx);
     }
 
-    /// Reports the end once; the driver then drops this actor.
+    /// Reports the end of the session once; the driver then drops this actor.
     fn end(&mut self, cx: CX![]) {
         if !self.ended {
             self.ended = true;
@@ -174,7 +174,7 @@
     fn push(&mut self, cx: CX![], bytes: Bytes, permit: ChunkPermit) {
         self.socket.push(bytes, permit);
         if !self.flush_scheduled {
-            // One write for what is queued by all calls that are already under way.
+            // One write covers everything that the calls already queued on the loop push.
             self.flush_scheduled = true;
             lazy!([cx], scheduled_flush());
         }
@@ -219,7 +219,7 @@
         }
         match outcome {
             ReadOutcome::Open => {
-                // A session that waits for the node reads on when the request is finished.
+                // A session that waits for the node reads again once the request has finished.
                 let waits = matches!(self.state, SessionState::Opening | SessionState::Busy { .. });
                 if self.socket.has_more() && !(waits && self.socket.input.len() >= READ_AHEAD_BYTES)
                 {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Handles as much of the input as the state allows.
+    /// Processes as much of the input as the state allows.
     fn process(&mut self, cx: CX![]) {
         loop {
             let advanced = match self.state {
@@ -319,7 +319,7 @@
         call!([self.driver, cx], node_event(NodeEvent::SessionOpened { session: self.id, start }));
     }
 
-    /// Handles the next message; returns whether there may be another one to handle.
+    /// Processes the next message; returns whether there may be another.
     fn process_next_message(&mut self, cx: CX![]) -> bool {
         let frame = match FrameSplitter::new(self.request_limit).split(&mut self.socket.input) {
             Ok(Some(frame)) => frame,
@@ -358,8 +358,8 @@
                 if self.messages.is_empty() {
                     return true;
                 }
-                // A statement survives the Sync that ends the request at the backend server; a portal
-                // does not.
+                // The request ends with a Sync at the backend server, which a prepared statement
+                // survives and a portal does not.
                 if self.messages.iter().any(is_portal_message) {
                     self.send_fatal(cx, "0A000", "Flush after Bind or Execute is not supported");
                     return false;
@@ -378,7 +378,7 @@
             }
             other => {
                 let message = match other {
-                    kind::QUERY => "a simple query before the Sync of extended messages".to_owned(),
+                    kind::QUERY => "simple query before the Sync of an extended query".to_owned(),
                     _ => format!("invalid frontend message type {other}"),
                 };
                 self.send_fatal(cx, "08P01", &message);
@@ -433,7 +433,7 @@
         self.push(cx, output.freeze(), ChunkPermit::free());
     }
 
-    /// Sends a fatal error and closes the connection after it.
+    /// Sends a fatal error and then closes the connection.
     fn send_fatal(&mut self, cx: CX![], code: &str, message: &str) {
         if matches!(self.state, SessionState::Closing) {
             return;
@@ -458,7 +458,7 @@
         self.end(cx);
     }
 
-    /// The node accepted the session.
+    /// Called when the node has accepted the session.
     pub(crate) fn accept(&mut self, cx: CX![], parameters: Vec<(Name, String)>) {
         if self.state != SessionState::Opening {
             return;
@@ -475,7 +475,7 @@
         self.read(cx);
     }
 
-    /// The node closes the session, or did not accept it.
+    /// Called when the node closes or refuses the session.
     pub(crate) fn close(&mut self, cx: CX![], error: Option<ErrorReply>) {
         if self.state == SessionState::Closing {
             return;
@@ -483,7 +483,7 @@
         self.close_error = error;
         let elapsed = self.answered_at.map(|at| cx.now().saturating_duration_since(at));
         match elapsed.and_then(|elapsed| CLOSE_DELAY.checked_sub(elapsed)) {
-            // A caller that has sent its next message has read the answer.
+            // A client that has sent its next message has read the answer.
             Some(left) if self.state == SessionState::Idle && self.socket.input.is_empty() => {
                 self.state = SessionState::ClosePending;
                 after!(left, [cx], close_now());
@@ -531,9 +531,12 @@
     ) {
         let SessionState::Busy { flush } = self.state else { return };
         if !self.scanner.is_between_frames() {
-            // The source of the answer broke off in the middle of a row, which leaves no place for an
-            // error. The closed connection tells the caller.
-            log::debug!("closed a caller in the middle of a row session={}", self.id.0);
+            // The source of the answer failed in the middle of a row, where no error can be sent.
+            // Closing the connection tells the client.
+            log::debug!(
+                "answer ended in the middle of a row, closed the connection session={}",
+                self.id.0
+            );
             self.end(cx);
             return;
         }
--- a/crates/daemon/tests/transactions.rs
+++ b/crates/daemon/tests/transactions.rs
@@ -557,7 +557,7 @@
     Bind of an unknown statement: ERROR 26000: prepared statement "no" does not exist | ready I
     Bind without a statement: ERROR 26000: prepared statement "cicadawick_none" does not exist | ready I
     Describe of neither kind: FATAL 08P01: invalid message format: target kind | closed
-    query before Sync: FATAL 08P01: a simple query before the Sync of extended messages | closed
+    query before Sync: FATAL 08P01: simple query before the Sync of an extended query | closed
     function call: FATAL 0A000: the function call protocol is not supported | closed
     copy data without a COPY: ready I
     COPY TO: ERROR 0A000: COPY is not available through a pool | ready I
