--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -209,7 +209,7 @@
         }
         match outcome {
             ReadOutcome::Open => {
-                if self.socket.has_more() && !self.ended {
+                if self.socket.may_have_input() && !self.ended {
                     call!([cx], resume());
                 }
             }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying answers within bounds.
+//! Flow control for relayed answers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 
 use crate::session::ClientSession;
 
-/// Bytes of one run's answer that may be on their way to the caller. With the socket buffers of the
-/// system it bounds what a slow caller costs.
+/// Maximum bytes of one exchange's answer in flight to the client. With the socket buffers of the
+/// system it bounds the memory that a slow client takes.
 pub(crate) const WINDOW_BYTES: usize = 256 * 1024;
 
-/// Counts what a source has relayed and not yet got written.
+/// Counts the bytes that a source has relayed and that have not been written yet.
 pub(crate) struct RelayWindow {
     in_flight: Cell<usize>,
     paused: Cell<bool>,
@@ -28,14 +28,14 @@
         Rc::new(RelayWindow { in_flight: Cell::new(0), paused: Cell::new(false), resume })
     }
 
-    /// Accounts for a chunk until the permit is dropped.
+    /// Counts a chunk as in flight until the permit is dropped.
     pub(crate) fn acquire(self: &Rc<Self>, bytes: usize) -> ChunkPermit {
         self.in_flight.set(self.in_flight.get() + bytes);
         let window = self.clone();
         ChunkPermit::new(move || window.release(bytes))
     }
 
-    /// Tells whether the source must stop; it is then told when to continue.
+    /// Returns whether the source must pause, in which case `resume` is called when it may continue.
     pub(crate) fn pause_if_full(&self) -> bool {
         let full = self.in_flight.get() >= WINDOW_BYTES;
         if full {
@@ -58,17 +58,17 @@
     }
 }
 
-/// Where an answer goes.
+/// Destination of an answer.
 #[derive(Clone)]
 pub(crate) enum AnswerSink {
-    /// The request with this number of a session here. Parts for another request are dropped.
+    /// A session of this node and the number of its request. Parts for another request are dropped.
     Session { session: Actor<ClientSession>, request: u64 },
-    /// A peer's call.
+    /// A call from a peer.
     Call(mpsc::UnboundedSender<AnswerPart>),
 }
 
 impl AnswerSink {
-    /// Passes a part of the answer on.
+    /// Passes on a part of the answer.
     pub(crate) fn send(&self, core: &mut Core, mut bytes: Bytes, permit: ChunkPermit) {
         match self {
             AnswerSink::Session { session, request } => {
@@ -80,7 +80,7 @@
                     let chunk = bytes.split_to(bytes.len().min(CHUNK_BYTES));
                     let share = permit.clone();
                     let part = AnswerPart::Chunk(chunk, ChunkPermit::new(move || drop(share)));
-                    // Fails when the peer gave up; the permit is then returned at once.
+                    // Fails if the peer dropped the call; the permit is then returned at once.
                     let _ = answers.unbounded_send(part);
                 }
             }
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -1,8 +1,8 @@
 //! The report connection to one database.
 //!
-//! It is opened with the first request. Requests are sent at once and answered in order. When the
-//! connection fails or a request takes too long, all requests in progress fail and the actor ends;
-//! the next request opens a new connection.
+//! It is opened by the first request. Requests are pipelined and answered in order. When the
+//! connection fails or a request times out, all requests in progress fail and the actor ends; the next
+//! request opens a new connection.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -20,16 +20,16 @@
 use crate::handshake::{SERVER_MESSAGE_LIMIT, ServerHandshake, startup_packet};
 use crate::socket::{BufferedSocket, ReadOutcome, ScratchBuffer};
 
-/// Time for a request, the opening of the connection included. Shorter than a promotion's step, so
-/// that a frozen database does not hold it up.
+/// Timeout of a request, including the opening of the connection. Shorter than a step of a promotion,
+/// so that a frozen database does not delay it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Requests that wait for an answer at most.
+/// Maximum number of requests that wait for an answer.
 const PENDING_REQUEST_LIMIT: usize = 32;
 
 const READ_LIMIT_BYTES: usize = 64 * 1024;
 
-/// What a database is asked.
+/// A request to a database's report functions.
 #[derive(Clone, Debug)]
 pub(crate) enum ReportRequest {
     Report,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Turns the row of an answer into an event; `None` if nothing is to be told.
+    /// Converts the row of an answer to an event; `None` if the node needs none.
     fn event(&self, id: ReportId, row: &[Option<String>]) -> Result<Option<NodeEvent>, String> {
         match self {
             ReportRequest::Report => {
@@ -110,9 +110,9 @@
     queued_at: Instant,
 }
 
-/// What opening a report connection needs.
+/// Parameters of a new report connection.
 pub(crate) struct ReportSetup {
-    /// A stream that is connecting.
+    /// A connecting stream.
     pub(crate) stream: TcpStream,
     pub(crate) database: Name,
     pub(crate) address: SocketAddress,
@@ -136,7 +136,7 @@
 }
 
 impl ReportConnection {
-    /// Begins to open a connection.
+    /// Starts to open a connection.
     pub(crate) fn init(cx: CX![], driver: Actor<IoDriver>, setup: ReportSetup) -> Option<Self> {
         let ReportSetup { stream, database, address, user, catalog, scratch } = setup;
         let poll: MioPoll = cx.anymap_get();
@@ -165,7 +165,7 @@
         })
     }
 
-    /// Sends a request.
+    /// Sends a request, or queues it until the connection is open.
     pub(crate) fn send_request(&mut self, cx: CX![], id: ReportId, request: ReportRequest) {
         if self.failed || self.pending.len() >= PENDING_REQUEST_LIMIT {
             call!([self.driver, cx], node_event(NodeEvent::ReportFailed { id }));
@@ -212,7 +212,7 @@
         if !self.failed {
             self.failed = true;
             let ids: Vec<ReportId> = self.pending.drain(..).map(|pending| pending.id).collect();
-            // The driver drops this actor. Until then it refuses requests, so that each is answered.
+            // Until the driver drops this actor, it fails new requests, so that each gets an answer.
             call!([self.driver, cx], report_connection_lost(self.database.clone(), ids, message));
         }
     }
@@ -236,7 +236,7 @@
         }
         self.socket.release_input();
         match outcome {
-            ReadOutcome::Open if self.socket.has_more() => call!([cx], read()),
+            ReadOutcome::Open if self.socket.may_have_input() => call!([cx], read()),
             ReadOutcome::Open => {}
             ReadOutcome::Ended => self.fail(cx, "the database closed the connection".to_owned()),
             ReadOutcome::Failed(error) => self.fail(cx, error.to_string()),
@@ -271,7 +271,7 @@
                 let row = std::mem::take(&mut self.row);
                 let error = self.error.take();
                 let Some(PendingRequest { id, request, .. }) = self.pending.pop_front() else {
-                    return Err("an answer without a request".to_owned());
+                    return Err("received an answer without a request".to_owned());
                 };
                 let event = match error {
                     Some(error) => Err(error),
@@ -281,7 +281,7 @@
                     Ok(event) => event,
                     Err(message) => {
                         let database = &self.database;
-                        log::debug!("failed request of report database={database} {message:?}");
+                        log::debug!("report request failed database={database} error={message:?}");
                         Some(NodeEvent::ReportFailed { id })
                     }
                 };
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -221,7 +221,8 @@
             ReadOutcome::Open => {
                 // A session that waits for the node reads again once the request has finished.
                 let waits = matches!(self.state, SessionState::Opening | SessionState::Busy { .. });
-                if self.socket.has_more() && !(waits && self.socket.input.len() >= READ_AHEAD_BYTES)
+                if self.socket.may_have_input()
+                    && !(waits && self.socket.input.len() >= READ_AHEAD_BYTES)
                 {
                     call!([cx], read());
                 }
--- a/crates/daemon/src/socket.rs
+++ b/crates/daemon/src/socket.rs
@@ -1,4 +1,4 @@
-//! A non-blocking socket with buffers that exist only while they hold something.
+//! A non-blocking socket whose buffers are allocated only while they hold data.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,14 +12,14 @@
 use stakker_mio::mio::net::TcpStream;
 use stakker_mio::{MioPoll, MioSource, Ready};
 
-/// Size of the buffer that all sockets read through. Sockets keep only what they could not process,
-/// so that idle ones hold no buffer.
+/// Size of the read buffer that all sockets share. A socket keeps only unprocessed input of its own,
+/// so an idle one holds no buffer.
 const SCRATCH_BYTES: usize = 64 * 1024;
 
-/// Parts of the output that one system call writes.
+/// Maximum number of output parts in one write call.
 const SLICES_PER_WRITE: usize = 16;
 
-/// The buffer that all sockets of a loop read through.
+/// The read buffer that all sockets of an event loop share.
 pub(crate) type ScratchBuffer = Rc<RefCell<Box<[u8]>>>;
 
 /// Allocates the shared read buffer.
@@ -30,23 +30,23 @@
 /// How a read ended.
 #[derive(Debug)]
 pub(crate) enum ReadOutcome {
-    /// All that was there is in the buffer, or the limit was reached.
+    /// All available data is in the buffer, or the limit has been reached.
     Open,
     Ended,
     Failed(io::Error),
 }
 
-/// A socket with its input and output.
+/// A socket with its input and output buffers.
 pub(crate) struct BufferedSocket {
     source: MioSource<TcpStream>,
     scratch: ScratchBuffer,
     pub(crate) input: BytesMut,
     output: VecDeque<(Bytes, ChunkPermit)>,
-    /// Bytes of the first output part that are written.
+    /// Bytes of the first output part that have been written.
     written: usize,
     output_bytes: usize,
-    /// The last read stopped at its limit, so no event announces the rest.
-    more: bool,
+    /// The last read stopped at its limit, so no readiness event will announce the rest.
+    input_pending: bool,
 }
 
 impl BufferedSocket {
@@ -62,7 +62,7 @@
         ready: Fwd<Ready>,
     ) -> io::Result<Self> {
         let source = poll.add(stream, Interest::READABLE | Interest::WRITABLE, 10, ready)?;
-        // Only saves delay; fails on a socket that is still connecting on some systems.
+        // Only reduces latency. Fails on some systems while the socket is still connecting.
         let _ = source.set_nodelay(true);
         Ok(BufferedSocket {
             source,
@@ -71,16 +71,16 @@
             output: VecDeque::new(),
             written: 0,
             output_bytes: 0,
-            more: true,
+            input_pending: true,
         })
     }
 
-    /// Reads until nothing is left or `input` holds `limit` bytes.
+    /// Reads until no data is available or `input` holds `limit` bytes.
     pub(crate) fn fill(&mut self, limit: usize) -> ReadOutcome {
         let mut scratch = self.scratch.borrow_mut();
         loop {
             if self.input.len() >= limit {
-                self.more = true;
+                self.input_pending = true;
                 return ReadOutcome::Open;
             }
             let room = scratch.len().min(limit - self.input.len());
@@ -89,12 +89,12 @@
                 Ok(count) => self.input.extend_from_slice(&scratch[..count]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.more = false;
+                    self.input_pending = false;
                     return ReadOutcome::Open;
                 }
-                // A connecting socket answers so on some systems.
+                // Some systems return this while the socket is still connecting.
                 Err(error) if error.kind() == ErrorKind::NotConnected => {
-                    self.more = false;
+                    self.input_pending = false;
                     return ReadOutcome::Open;
                 }
                 Err(error) => return ReadOutcome::Failed(error),
@@ -102,9 +102,9 @@
         }
     }
 
-    /// Tells whether the socket may hold data that no event will announce.
-    pub(crate) fn has_more(&self) -> bool {
-        self.more
+    /// Returns whether the socket may hold data that no readiness event will announce.
+    pub(crate) fn may_have_input(&self) -> bool {
+        self.input_pending
     }
 
     /// Frees the input buffer if it is empty.
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Returns how many bytes wait to be written.
+    /// Returns the number of bytes that have not been written yet.
     pub(crate) fn output_bytes(&self) -> usize {
         self.output_bytes - self.written
     }
 
-    /// Writes as much as the socket takes; parts that are written return their permits.
+    /// Writes as much as the socket accepts; written parts return their permits.
     ///
     /// # Errors
     ///
