--- a/crates/daemon/src/platform_threads.rs
+++ b/crates/daemon/src/platform_threads.rs
@@ -1,7 +1,7 @@
-//! Calls to the platform, on threads of their own because they block.
+//! Calls to the platform, which block and therefore run on threads of their own.
 //!
-//! Each watch has a thread, which waits in one blocking query at a time. Reads and writes of records
-//! share one more thread. Dropping a thread's handle ends it after its current call.
+//! Each watch has a thread, which waits in one blocking query at a time. Reads and writes of cluster
+//! records share another thread. Dropping a thread's handle ends it after its current call.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 const DOCUMENT_KEYS: [(&str, &str); 2] =
     [("config", "cicadawick/config"), ("token-keys", "cicadawick/token-keys")];
 
-/// Time that a blocking query waits at the platform. Each return counts as a call, so it is long.
+/// Time that a blocking query waits at the platform. It is long because each return counts as a call.
 const WATCH_WAIT: Duration = Duration::from_secs(55);
 
-/// Time for a call that does not wait. A promotion gives the record this long.
+/// Timeout of a call that does not wait for a change. A promotion waits this long for its record.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Pause after a failed watch, so that an outage does not cause a burst of calls.
+/// Delay after a failed watch, so that an outage does not cause a burst of calls.
 const RETRY_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Calls about records that wait at most.
+/// Maximum number of pending calls about records.
 const RECORD_CALL_LIMIT: usize = 256;
 
 /// A call about a cluster's record.
@@ -36,7 +36,7 @@
     Write { cluster: Name, expected_index: u64, bytes: Arc<[u8]> },
 }
 
-/// Threads that talk to the platform.
+/// The threads that call the platform.
 pub(crate) struct PlatformThreads {
     address: SocketAddress,
     watches: Vec<PipedThread<(), PlatformAnswer>>,
@@ -45,7 +45,7 @@
 }
 
 impl PlatformThreads {
-    /// Creates a link without threads.
+    /// Creates the handle without starting threads.
     pub(crate) fn new(address: SocketAddress) -> Self {
         PlatformThreads {
             address,
@@ -104,7 +104,11 @@
         self.watches.clear();
     }
 
-    /// Makes a call about a record. Returns the call's cluster if too many calls wait.
+    /// Queues a call about a record.
+    ///
+    /// # Errors
+    ///
+    /// Returns the call's cluster if too many calls are pending.
     pub(crate) fn start_record_call(
         &mut self,
         core: &mut Core,
@@ -137,7 +141,7 @@
         Ok(())
     }
 
-    /// Takes note of an answered call about a record.
+    /// Must be called for each answered call about a record.
     pub(crate) fn record_answered(&mut self) {
         self.pending_record_calls = self.pending_record_calls.saturating_sub(1);
     }
@@ -146,7 +150,7 @@
 fn log_thread_panic() -> Fwd<Option<String>> {
     Fwd::new(|panic: Option<String>| {
         if let Some(panic) = panic {
-            log::error!("a platform thread failed error={panic:?}");
+            log::error!("a platform thread panicked error={panic:?}");
         }
     })
 }
@@ -175,7 +179,7 @@
             Ok(answer) => {
                 if failing {
                     failing = false;
-                    log::info!("the platform answers again");
+                    log::info!("the platform is reachable again");
                 }
                 if let Some(answer) = answer
                     && !link.send(answer)
