--- a/crates/daemon/src/cancel.rs
+++ b/crates/daemon/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Sending a cancel request to a backend server.
+//! Cancel requests to backend servers.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use stakker_mio::MioPoll;
 use stakker_mio::mio::net::TcpStream;
 
-/// Time for a cancel request.
+/// Timeout of a cancel request, including its connection.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends a cancel request on a connection of its own. `done` gets whether the backend server took it:
-/// it closes the connection when the request has been carried out.
+/// Sends a cancel request on a connection of its own. `done` is called with whether the backend
+/// server processed it, which it shows by closing the connection.
 pub(crate) fn send_cancel(
     core: &mut Core,
     pool: &TaskPool,
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters: always in the state dump, and sent in statsd format if an address is set.
+//! Counters, which appear in the state dump and are sent in statsd format if an address is
+//! configured.
 
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -6,7 +7,7 @@
 use cadence::{BufferedUdpMetricSink, Counted, Gauged, StatsdClient};
 use model::SocketAddress;
 
-/// Prefix of the metrics' names.
+/// Prefix of metric names.
 const METRIC_PREFIX: &str = "cicadawick";
 
 /// The counters of one process.
@@ -16,7 +17,7 @@
 }
 
 impl CounterSet {
-    /// Creates counters; with an address they are sent there too.
+    /// Creates the counters, which are also sent to `address` if there is one.
     ///
     /// # Errors
     ///
@@ -40,19 +41,19 @@
     pub(crate) fn add(&mut self, name: &'static str, amount: u64) {
         *self.values.entry(name).or_default() += amount;
         if let Some(client) = &self.client {
-            // A metric that is lost, as any datagram may be, stays in the dump.
+            // A metric may get lost like any datagram; the counter in the dump includes it.
             let _ = client.count(name, i64::try_from(amount).unwrap_or(i64::MAX));
         }
     }
 
-    /// Sends a current value.
+    /// Sends the current value of a gauge.
     pub(crate) fn gauge(&self, name: &str, value: u64) {
         if let Some(client) = &self.client {
             let _ = client.gauge(name, value);
         }
     }
 
-    /// Sends what is buffered.
+    /// Sends the buffered metrics.
     pub(crate) fn flush(&self) {
         if let Some(client) = &self.client {
             let _ = client.flush();
--- a/crates/daemon/src/handshake.rs
+++ b/crates/daemon/src/handshake.rs
@@ -1,19 +1,19 @@
-//! Opening a connection to a backend server.
+//! Start-up handshake of a connection to a backend server.
 
 use bytes::{Bytes, BytesMut};
 use pg::{Frame, kind};
 
-/// Largest message that is read whole from a backend server; rows are relayed in parts.
+/// Largest message of a backend server that is parsed as a whole. Larger rows are relayed in parts.
 pub(crate) const SERVER_MESSAGE_LIMIT: usize = 1 << 20;
 
-/// What the backend server said so far.
+/// State of a handshake: the cancellation key, once received.
 #[derive(Debug, Default)]
 pub(crate) struct ServerHandshake {
     pub(crate) process_id: i32,
     pub(crate) secret: Vec<u8>,
 }
 
-/// Builds the first packet.
+/// Builds the start-up packet.
 pub(crate) fn startup_packet(user: &str, catalog: &str) -> Bytes {
     let mut packet = BytesMut::new();
     let parameters = [("user", user), ("database", catalog), ("application_name", "cicadawick")];
@@ -22,7 +22,7 @@
 }
 
 impl ServerHandshake {
-    /// Handles a message; returns whether the connection is ready.
+    /// Processes a message; returns whether the connection is ready.
     ///
     /// # Errors
     ///
