--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,5 @@
-//! The operators' HTTP interface: a thread that passes requests to the loop and waits for the answer.
+//! The operators' HTTP interface: a thread that passes requests to the event loop and waits for
+//! answers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, mpsc};
@@ -10,30 +11,30 @@
 use stakker::sync::Channel;
 use stats::CallerMeasure;
 
-/// Time that the loop has to answer.
+/// Time in which the event loop must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Rows of `top` if the request names no number, and the most that it may name.
+/// Default and maximum number of rows of `top`.
 const DEFAULT_ROWS: usize = 20;
 const MAX_ROWS: usize = 2_048;
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AdminCall {
     Node(OperatorCall),
-    /// The node's dump joined with the shell's.
+    /// The node's state dump with the daemon's under `shell`.
     Dump,
     Drain,
     Health,
 }
 
-/// A request on its way to the loop.
+/// A request passed to the event loop, with the channel for its answer.
 pub(crate) struct AdminRequest {
     pub(crate) call: AdminCall,
     pub(crate) reply: mpsc::Sender<serde_json::Value>,
 }
 
-/// The HTTP thread; drop ends it after the answer in progress.
+/// The HTTP server and its thread. Drop ends the thread after the answer in progress.
 pub(crate) struct AdminServer {
     server: Arc<tiny_http::Server>,
     thread: Option<JoinHandle<()>>,
@@ -67,7 +68,7 @@
                 if let Ok(header) = "Content-Type: application/json".parse() {
                     response.add_header::<tiny_http::Header>(header);
                 }
-                // The operator may have gone away.
+                // Fails if the operator has closed the connection.
                 let _ = request.respond(response);
             }
         }));
@@ -77,7 +78,7 @@
 impl Drop for AdminServer {
     fn drop(&mut self) {
         self.server.unblock();
-        // Without the wait, the process could exit before the answer to a drain request is sent.
+        // Without the join, the process could exit before the answer to a drain request is sent.
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -100,11 +101,11 @@
     }
     match answer.recv_timeout(ANSWER_TIMEOUT) {
         Ok(body) => (200, body),
-        Err(_) => error(503, "the node does not answer"),
+        Err(_) => error(503, "the node did not answer in time"),
     }
 }
 
-/// Reads a request line.
+/// Parses the method and URL of a request.
 fn parse_call(method: &tiny_http::Method, url: &str) -> Result<AdminCall, (u16, String)> {
     let (path, query) = url.split_once('?').unwrap_or((url, ""));
     let query: Vec<(String, String)> = query
@@ -174,7 +175,7 @@
     serde_json::from_value(serde_json::Value::String(name.to_owned())).ok()
 }
 
-/// Decodes `+` and `%XX`; what is not a valid escape stays as it is.
+/// Decodes `+` and `%XX`; invalid escapes are left as they are.
 fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,10 +1,10 @@
-//! `cicadawickd`: the shell that feeds a node from sockets and timers.
+//! `cicadawickd`: the I/O side of a node, with its sockets, timers and threads.
 //!
-//! One thread runs a stakker loop. The driver actor owns the [`node::Node`], passes it events and
-//! carries out its actions. Session and backend actors own the sockets and exchange the parts of
-//! answers directly, each with a permit that bounds what is buffered. Blocking work, which is calls
-//! to the platform and the operators' HTTP interface, has threads of its own that talk to the loop
-//! through channels.
+//! One thread runs a stakker event loop. The driver actor owns the [`node::Node`], passes it events
+//! and executes its actions. Session and backend actors own the sockets and pass the parts of answers
+//! to each other directly, each part with a permit that bounds what is buffered. Blocking work, which
+//! is calls to the platform and the operators' HTTP interface, runs on separate threads that
+//! communicate with the loop through channels.
 //!
 //! The daemon never panics because of a peer: bytes from the network are read with bounds checks, and
 //! a malformed message closes only the connection that it came from.
@@ -67,31 +67,31 @@
     Loop(String),
 }
 
-/// Ends a running daemon from another thread, as SIGTERM does.
+/// Shuts a running daemon down from another thread, as SIGTERM does.
 #[derive(Clone)]
 pub struct StopHandle {
     channel: Channel<()>,
 }
 
 impl StopHandle {
-    /// Begins a graceful shutdown; [`run`] returns when it is complete.
+    /// Starts a graceful shutdown; [`run`] returns when it is complete.
     pub fn stop(&self) {
         self.channel.send(());
     }
 }
 
-/// How a daemon runs.
+/// Options of [`run`] that are not settings.
 #[derive(Default)]
 pub struct RunOptions {
     /// Called once all addresses are bound.
     #[allow(clippy::type_complexity)]
     pub ready: Option<Box<dyn FnOnce(ReadyAddresses, StopHandle)>>,
-    /// SIGTERM and SIGINT begin a graceful shutdown.
+    /// Whether SIGTERM and SIGINT start a graceful shutdown.
     pub handle_signals: bool,
 }
 
-/// Runs a daemon until it was shut down gracefully. Port 0 in an address of the settings stands for a
-/// free port, which `options.ready` gets to know.
+/// Runs a daemon until it has been shut down gracefully. Port 0 in an address of the settings selects
+/// a free port, which `options.ready` receives.
 ///
 /// # Errors
 ///
@@ -167,7 +167,7 @@
     Ok(listener)
 }
 
-/// Waits for signals; drop ends the thread.
+/// A thread that turns signals into shutdown requests; drop ends it.
 struct SignalThread {
     handle: signal_hook::iterator::Handle,
 }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,14 +1,14 @@
-//! Log lines to stderr: time, level, module, and a message with key=value fields.
+//! Logging to stderr. A line has time, level, module, and a message with key=value fields.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use log::LevelFilter;
 
-/// Starts to log at a level (`error`, `warn`, `info`, `debug`, `trace`) to stderr.
+/// Installs a logger to stderr with a level (`error`, `warn`, `info`, `debug`, `trace`).
 ///
 /// # Errors
 ///
-/// Fails if the level is not known, or if a log was started before.
+/// Fails if the level is unknown, or if a logger is already installed.
 pub fn start_logging(level: &str) -> anyhow::Result<()> {
     let level: LevelFilter =
         level.parse().map_err(|_| anyhow::anyhow!("unknown log level {level:?}"))?;
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// Tells whether a line comes from this project. Libraries are heard only when something is wrong.
+/// Returns whether a target belongs to this project. Libraries log warnings and errors only.
 fn is_project_target(target: &str) -> bool {
     const CRATES: [&str; 5] = ["daemon", "node", "platform", "rpc", "cicadawickd"];
     let name = target.split("::").next().unwrap_or(target);
@@ -43,8 +43,8 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{millis:03}Z")
 }
 
-/// Turns days since 1970-01-01 into a date of the proleptic Gregorian calendar. Counts years from
-/// March, so that the leap day is the last day of a year.
+/// Converts days since 1970-01-01 to a date of the proleptic Gregorian calendar. Years are counted
+/// from March, so that the leap day is the last day of a year.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     const DAYS_PER_ERA: u64 = 146_097;
     // 0000-03-01 is 719,468 days before 1970-01-01.
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -73,7 +73,7 @@
         settings.admin_address.set_port(0);
     }
     if let Err(error) = daemon::start_logging(&settings.log_level) {
-        eprintln!("cicadawickd: failed to start the log: {error}");
+        eprintln!("cicadawickd: failed to start logging: {error}");
         return ExitCode::from(SETTINGS_ERROR);
     }
     match daemon::run(settings, run_options(flags.ready_file, flags.ready_stdout)) {
@@ -110,7 +110,7 @@
     RunOptions { ready: Some(Box::new(ready)), handle_signals: true }
 }
 
-/// Writes beside the file and renames, so that a reader never sees a part of the line.
+/// Writes a temporary file and renames it, so that a reader never sees a partial line.
 fn write_atomically(file: &std::path::Path, text: &str) -> std::io::Result<()> {
     let partial = file.with_extension("partial");
     std::fs::write(&partial, text)?;
