--- a/crates/daemon/tests/accounting.rs
+++ b/crates/daemon/tests/accounting.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::fleet::{FleetOptions, TestFleet, cluster_name, run_client};
+use common::fleet::{FleetOptions, TestFleet, cluster_name, run_cli};
 use common::{code, temporary_file, wait_until};
 use postgres::{Client, NoTls};
 use serde_json::{Value, json};
@@ -12,7 +12,7 @@
 /// Runs the operators' client with `--json`.
 fn ask(fleet: &TestFleet, arguments: &[&str]) -> Value {
     let arguments: Vec<&str> = ["--json"].iter().chain(arguments).copied().collect();
-    let run = run_client(fleet.platform.address(), &arguments);
+    let run = run_cli(fleet.platform.address(), &arguments);
     assert_eq!(run.code, 0, "{run:?}");
     serde_json::from_str(&run.out).unwrap()
 }
@@ -33,7 +33,7 @@
     let path = temporary_file("accounting");
     std::fs::write(&path, document.to_string()).unwrap();
     let before = fleet.revision(0);
-    let run = run_client(fleet.platform.address(), &["apply", path.to_str().unwrap()]);
+    let run = run_cli(fleet.platform.address(), &["apply", path.to_str().unwrap()]);
     std::fs::remove_file(&path).unwrap();
     assert_eq!(run.code, 0, "{run:?}");
     wait_until("the configuration is active", || {
@@ -51,7 +51,7 @@
 // Guards against load that no operator can trace to a caller, an explanation that does not fit the
 // service, and label changes that open sessions do not get.
 #[test]
-fn operators_find_the_caller_behind_load() {
+fn operators_find_the_caller_that_causes_load() {
     let fleet =
         TestFleet::start(FleetOptions { data_centres: 1, nodes: 2, ..FleetOptions::default() });
     apply(&fleet, "till");
--- a/crates/daemon/tests/command_line.rs
+++ b/crates/daemon/tests/command_line.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn bad_settings_exit_with_3_and_name_the_place() {
+fn bad_settings_exit_with_3_and_name_the_location() {
     let file = temporary_file("bad");
     let name = file.to_str().unwrap();
     std::fs::write(&file, "{\n  \"nmae\": \"vm-1\"\n}").unwrap();
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -1,7 +1,7 @@
 //! Real daemons in several data centres, with a relay on every link that a test may cut.
 //!
 //! Each node reaches each database, the platform and each node of another data centre through a relay
-//! of its own. A link is named `NODE/TARGET` by [`link`]. Nodes of one data centre reach each other
+//! of its own. A link is named `NODE/TARGET` by [`link_name`]. Nodes of one data centre reach each other
 //! directly: no test cuts these links.
 
 use std::net::SocketAddr;
@@ -16,22 +16,22 @@
 use fake::port::PortReservation;
 use serde_json::{Value, json};
 
-use super::{Proxy, start_proxy_with, temporary_file, wait_until};
+use super::{ProxyProcess, start_proxy_with, temporary_file, wait_until};
 
 /// Fleets that run at once in one test process. More of them would only measure the scheduler.
-const FLEETS_AT_ONCE: usize = 3;
+const CONCURRENT_FLEET_LIMIT: usize = 3;
 
-static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static RUNNING_FLEETS: Mutex<usize> = Mutex::new(0);
+static FLEET_ENDED: Condvar = Condvar::new();
 
 /// Permission to run a fleet; drop lets the next one start.
 struct FleetPermit;
 
 impl FleetPermit {
     fn wait() -> Self {
-        let mut running = RUNNING.lock().unwrap_or_else(|error| error.into_inner());
-        while *running >= FLEETS_AT_ONCE {
-            running = ENDED.wait(running).unwrap_or_else(|error| error.into_inner());
+        let mut running = RUNNING_FLEETS.lock().unwrap_or_else(|error| error.into_inner());
+        while *running >= CONCURRENT_FLEET_LIMIT {
+            running = FLEET_ENDED.wait(running).unwrap_or_else(|error| error.into_inner());
         }
         *running += 1;
         FleetPermit
@@ -40,8 +40,8 @@
 
 impl Drop for FleetPermit {
     fn drop(&mut self) {
-        *RUNNING.lock().unwrap_or_else(|error| error.into_inner()) -= 1;
-        ENDED.notify_one();
+        *RUNNING_FLEETS.lock().unwrap_or_else(|error| error.into_inner()) -= 1;
+        FLEET_ENDED.notify_one();
     }
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// Returns the name of the link from a node to a database, a node or the platform.
-pub fn link(node: usize, target: &str) -> String {
+pub fn link_name(node: usize, target: &str) -> String {
     format!("{}/{target}", node_name(node))
 }
 
@@ -96,7 +96,7 @@
 /// A platform, database groups, relays and daemons; drop stops all of them.
 pub struct TestFleet {
     /// `None` while a node is stopped. Declared first, so that the nodes end before their stand-ins.
-    pub nodes: Vec<Option<Proxy>>,
+    pub nodes: Vec<Option<ProxyProcess>>,
     pub links: FaultProxy,
     pub groups: Vec<DatabaseGroup>,
     pub platform: FakePlatform,
@@ -154,19 +154,19 @@
         let mut upstreams = Vec::new();
         let mut delayed = Vec::new();
         for node in 0..options.nodes {
-            upstreams.push((link(node, "platform"), platform.address()));
+            upstreams.push((link_name(node, "platform"), platform.address()));
             for (cluster, group) in groups.iter().enumerate() {
                 for (at, name) in group.names().iter().enumerate() {
-                    upstreams.push((link(node, name), group.addresses()[at]));
+                    upstreams.push((link_name(node, name), group.addresses()[at]));
                     if centre(node) != centre(cluster + at) {
-                        delayed.push(link(node, name));
+                        delayed.push(link_name(node, name));
                     }
                 }
             }
             for (other, address) in peer_addresses.iter().enumerate() {
                 if centre(node) != centre(other) {
-                    upstreams.push((link(node, &node_name(other)), *address));
-                    delayed.push(link(node, &node_name(other)));
+                    upstreams.push((link_name(node, &node_name(other)), *address));
+                    delayed.push(link_name(node, &node_name(other)));
                 }
             }
         }
@@ -181,7 +181,7 @@
                 let path = temporary_file(&format!("{}-dial", node_name(node)));
                 let lines: Vec<String> = upstreams
                     .iter()
-                    .filter(|(name, _)| name.starts_with(&link(node, "")))
+                    .filter(|(name, _)| name.starts_with(&link_name(node, "")))
                     .map(|(name, address)| format!("{address} {}\n", links.address(name).unwrap()))
                     .collect();
                 std::fs::write(&path, lines.concat()).unwrap();
@@ -252,7 +252,7 @@
             "caller_address": callers.address().unwrap().to_string(),
             "peer_address": self.peer_addresses[node].to_string(),
             "admin_address": admin.address().unwrap().to_string(),
-            "platform_address": self.links.address(&link(node, "platform")).unwrap().to_string(),
+            "platform_address": self.links.address(&link_name(node, "platform")).unwrap().to_string(),
             "peers": peers,
             "drain_timeout_ms": 2_000,
             "log_level": std::env::var("CICADAWICK_TEST_LOG").unwrap_or("error".to_owned()),
@@ -277,7 +277,7 @@
         self.platform.remove_vm(&node_name(node));
     }
 
-    pub fn node(&self, node: usize) -> &Proxy {
+    pub fn node(&self, node: usize) -> &ProxyProcess {
         self.nodes[node].as_ref().unwrap()
     }
 
@@ -328,7 +328,7 @@
                 }
                 for node in 0..self.options.nodes {
                     if (self.centre(node) == centre) != (database_centre == centre) {
-                        self.set_cut(&link(node, name), partitioned);
+                        self.set_cut(&link_name(node, name), partitioned);
                     }
                 }
             }
@@ -336,11 +336,11 @@
         for node in 0..self.options.nodes {
             for other in 0..self.options.nodes {
                 if (self.centre(node) == centre) != (self.centre(other) == centre) {
-                    self.set_cut(&link(node, &node_name(other)), partitioned);
+                    self.set_cut(&link_name(node, &node_name(other)), partitioned);
                 }
             }
             if self.centre(node) == centre && with_platform {
-                self.set_cut(&link(node, "platform"), partitioned);
+                self.set_cut(&link_name(node, "platform"), partitioned);
             }
         }
     }
@@ -367,7 +367,7 @@
 }
 
 /// Returns the operators' client, which belongs to another crate and is built on first use.
-pub fn client_binary() -> PathBuf {
+pub fn cli_binary() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT
         .get_or_init(|| {
@@ -385,7 +385,7 @@
 
 /// Exit code, stdout and stderr of a run of the operators' client.
 #[derive(Debug)]
-pub struct ClientRun {
+pub struct CliRun {
     pub code: i32,
     pub out: String,
     pub err: String,
@@ -393,15 +393,15 @@
 }
 
 /// Runs the operators' client against a platform.
-pub fn run_client(platform: SocketAddr, arguments: &[&str]) -> ClientRun {
+pub fn run_cli(platform: SocketAddr, arguments: &[&str]) -> CliRun {
     let started = Instant::now();
-    let output = Command::new(client_binary())
+    let output = Command::new(cli_binary())
         .args(["--platform", &platform.to_string()])
         .args(arguments)
         .stdin(Stdio::null())
         .output()
         .unwrap();
-    ClientRun {
+    CliRun {
         code: output.status.code().unwrap(),
         out: String::from_utf8(output.stdout).unwrap(),
         err: String::from_utf8(output.stderr).unwrap(),
--- a/crates/daemon/tests/common/history.rs
+++ b/crates/daemon/tests/common/history.rs
@@ -15,10 +15,10 @@
 
 /// Time after the opening of a term for which an acknowledgement from before it may still be on its
 /// way: a report's answer takes at most 1 s, the rest is scheduling.
-const IN_FLIGHT: Duration = Duration::from_millis(1_500);
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(1_500);
 
-const WRITE_PAUSE: Duration = Duration::from_millis(3);
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const WRITE_INTERVAL: Duration = Duration::from_millis(3);
+const RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
 /// What a caller was told about a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
                 let Some(open) = &mut client else {
                     client = config.connect(NoTls).ok();
                     if client.is_none() {
-                        std::thread::sleep(RETRY_PAUSE);
+                        std::thread::sleep(RETRY_BACKOFF);
                     }
                     continue;
                 };
@@ -94,8 +94,8 @@
                     Err(code) => WriteOutcome::Unknown(code),
                 };
                 let pause = match outcome {
-                    WriteOutcome::Acknowledged => WRITE_PAUSE,
-                    _ => RETRY_PAUSE,
+                    WriteOutcome::Acknowledged => WRITE_INTERVAL,
+                    _ => RETRY_BACKOFF,
                 };
                 if open.is_closed() {
                     client = None;
@@ -292,7 +292,7 @@
                 } else if count == 0 {
                     check.lost += 1;
                     if opened.is_none_or(|opened| {
-                        record.sent > opened || record.ended > opened + IN_FLIGHT
+                        record.sent > opened || record.ended > opened + IN_FLIGHT_GRACE
                     }) {
                         check.violations.push(format!(
                             "row {} of writer {}: acknowledged by a replaced primary",
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -15,11 +15,11 @@
 use fake::fakeplatform::FakePlatform;
 use postgres::{Client, NoTls, SimpleQueryMessage};
 
-pub const WAIT: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Polls until a condition holds.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + WAIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(10));
@@ -27,7 +27,7 @@
 }
 
 /// A running `cicadawickd`; drop kills it.
-pub struct Proxy {
+pub struct ProxyProcess {
     pub caller_address: SocketAddr,
     pub peer_address: SocketAddr,
     pub admin_address: SocketAddr,
@@ -35,7 +35,7 @@
     child: Child,
 }
 
-impl Proxy {
+impl ProxyProcess {
     pub fn connect(&self) -> Client {
         self.try_connect("billing", "").unwrap()
     }
@@ -66,7 +66,7 @@
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + WAIT;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -83,7 +83,7 @@
     }
 }
 
-impl Drop for Proxy {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -92,15 +92,15 @@
 }
 
 /// A database group, a platform and proxies in one data centre.
-pub struct Fleet {
+pub struct LocalFleet {
     pub group: DatabaseGroup,
     pub platform: FakePlatform,
-    pub proxies: Vec<Proxy>,
+    pub proxies: Vec<ProxyProcess>,
 }
 
-impl Fleet {
+impl LocalFleet {
     pub fn start(proxies: usize) -> Self {
-        Fleet::start_with(proxies, GroupOptions::new("billing", 3))
+        LocalFleet::start_with(proxies, GroupOptions::new("billing", 3))
     }
 
     pub fn start_with(proxies: usize, options: GroupOptions) -> Self {
@@ -112,7 +112,7 @@
             "selectors": [{ "name": "all", "matches": "", "rank": "urgent", "deadline_ms": 10_000 }],
         });
         fake::publish_configuration(platform.address(), &configuration.to_string()).unwrap();
-        let mut fleet = Fleet { group, platform, proxies: Vec::new() };
+        let mut fleet = LocalFleet { group, platform, proxies: Vec::new() };
         for _ in 0..proxies {
             fleet.add_proxy();
         }
@@ -151,12 +151,12 @@
 }
 
 /// Starts a daemon and waits until it is ready.
-pub fn start_proxy(settings: &serde_json::Value) -> Proxy {
+pub fn start_proxy(settings: &serde_json::Value) -> ProxyProcess {
     start_proxy_with(settings, None)
 }
 
 /// Starts a daemon whose connections go through the relays that `dial` names.
-pub fn start_proxy_with(settings: &serde_json::Value, dial: Option<&Path>) -> Proxy {
+pub fn start_proxy_with(settings: &serde_json::Value, dial: Option<&Path>) -> ProxyProcess {
     let name = settings["name"].as_str().unwrap();
     let path = temporary_file(name);
     std::fs::write(&path, settings.to_string()).unwrap();
@@ -181,7 +181,7 @@
         let field = line.split_whitespace().find_map(|field| field.strip_prefix(key)).unwrap();
         field.parse().unwrap()
     };
-    Proxy {
+    ProxyProcess {
         caller_address: address("caller_address="),
         peer_address: address("peer_address="),
         admin_address: address("admin_address="),
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -11,14 +11,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::fleet::{
-    ClientRun, FleetOptions, TestFleet, cluster_name, link, node_name, run_client,
-};
+use common::fleet::{CliRun, FleetOptions, TestFleet, cluster_name, link_name, node_name, run_cli};
 use common::{temporary_file, wait_until};
 use fake::fakeplatform::{CallCounters, OutageMode};
 
 /// Longest time until a change is active everywhere.
-const CHANGE_BOUND: Duration = Duration::from_secs(17);
+const CHANGE_LIMIT: Duration = Duration::from_secs(17);
 
 /// A configuration file; drop removes it.
 struct ConfigurationFile(PathBuf);
@@ -31,8 +29,8 @@
         ConfigurationFile(path)
     }
 
-    fn apply(&self, platform: SocketAddr, author: &str) -> ClientRun {
-        run_client(platform, &["apply", self.0.to_str().unwrap(), "--author", author])
+    fn apply(&self, platform: SocketAddr, author: &str) -> CliRun {
+        run_cli(platform, &["apply", self.0.to_str().unwrap(), "--author", author])
     }
 }
 
@@ -43,7 +41,7 @@
 }
 
 /// Applies a configuration and expects that it becomes a revision.
-fn apply(fleet: &TestFleet, deadline_ms: u64, revision: u64) -> ClientRun {
+fn apply(fleet: &TestFleet, deadline_ms: u64, revision: u64) -> CliRun {
     let file = ConfigurationFile::new(fleet, deadline_ms);
     let run = file.apply(fleet.platform.address(), "olga");
     assert_eq!(run.code, 0, "{run:?}");
@@ -170,12 +168,12 @@
             watch - before.watch,
             total - before.total
         );
-        assert!(run.elapsed + active < CHANGE_BOUND, "{active:?}");
+        assert!(run.elapsed + active < CHANGE_LIMIT, "{active:?}");
         figures.push((active, total - before.total));
     }
     let address = fleet.node(0).admin_address.to_string();
     let status =
-        run_client(fleet.platform.address(), &["rollout", "status", "--node", &address, "--all"]);
+        run_cli(fleet.platform.address(), &["rollout", "status", "--node", &address, "--all"]);
     assert_eq!(status.code, 0, "{status:?}");
     figures
 }
@@ -213,7 +211,7 @@
     // Both clients have read before either writes.
     fleet.platform.set_slow(Duration::from_millis(400));
     let platform = fleet.platform.address();
-    let runs: Vec<(&str, u64, ClientRun)> = std::thread::scope(|scope| {
+    let runs: Vec<(&str, u64, CliRun)> = std::thread::scope(|scope| {
         let threads: Vec<_> = [("olga", 6_001), ("pedro", 6_002)]
             .into_iter()
             .map(|(author, deadline_ms)| {
@@ -242,7 +240,7 @@
     assert!(run.err.contains("no answer from the platform"), "{run:?}");
     assert_eq!(fleet.platform.counters().lost, 1);
     wait_for_deadline(&fleet, 0..5, 6_003);
-    let revision = run_client(fleet.platform.address(), &["get", "--revision"]);
+    let revision = run_cli(fleet.platform.address(), &["get", "--revision"]);
     assert_eq!(revision.out, "2\n");
 }
 
@@ -340,14 +338,14 @@
     let fleet = TestFleet::start(FleetOptions::default());
     let inside = fleet.nodes_of(0);
     for node in &inside {
-        fleet.links.set_cut(&link(*node, "platform"), true, true).unwrap();
+        fleet.links.set_cut(&link_name(*node, "platform"), true, true).unwrap();
     }
     let run = apply(&fleet, 6_020, 2);
     let applied = Instant::now();
     wait_for_deadline(&fleet, 0..5, 6_020);
     let active = applied.elapsed();
     println!("active without the platform after {active:?}");
-    assert!(run.elapsed + active < CHANGE_BOUND, "{active:?}");
+    assert!(run.elapsed + active < CHANGE_LIMIT, "{active:?}");
 }
 
 /// Guards against a restarted node that takes an old revision from somewhere, with and without the
--- a/crates/daemon/tests/consistency.rs
+++ b/crates/daemon/tests/consistency.rs
@@ -9,18 +9,18 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Proxy, rows, wait_until};
+use common::{ProxyProcess, rows, wait_until};
 use fake::fakedb::GroupOptions;
 use postgres::Client;
 use serde_json::json;
-use sessions::{CallerAnswer, FleetSetup, RawCaller, SessionFleet, StopGuard, run};
+use sessions::{FleetSetup, RawClient, RequestOutcome, SessionFleet, StopGuard, run};
 
 /// Age that selectors of these tests accept, unless the session accepts less.
-const SELECTOR_AGE: Duration = Duration::from_secs(20);
+const SELECTOR_MAX_AGE: Duration = Duration::from_secs(20);
 
 /// Time between the check of an answer's age at the first byte and the test's clock. The checks use
 /// the proxy's clock readings before that, and this machine may be busy.
-const CLOCK_SLACK: Duration = Duration::from_millis(250);
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(250);
 
 /// Two data centres with a proxy each; writers are urgent and reads interactive.
 fn setup(group: GroupOptions) -> FleetSetup {
@@ -32,7 +32,7 @@
             { "name": "writes", "matches": "application=writer", "rank": "urgent",
               "deadline_ms": 10_000, "durable": true },
             { "name": "reads", "matches": "", "rank": "interactive", "deadline_ms": 10_000,
-              "max_age_ms": SELECTOR_AGE.as_millis() as u64, "durable": true },
+              "max_age_ms": SELECTOR_MAX_AGE.as_millis() as u64, "durable": true },
         ]),
     }
 }
@@ -48,7 +48,7 @@
     }
 }
 
-fn writer(proxy: &Proxy) -> Client {
+fn writer(proxy: &ProxyProcess) -> Client {
     proxy.try_connect("billing", "-c application_name=writer").unwrap()
 }
 
@@ -57,7 +57,7 @@
     client.batch_execute("INSERT INTO ticks VALUES (1, 0)").unwrap();
 }
 
-fn write_tick(client: &mut Client, n: i64) -> CallerAnswer {
+fn write_tick(client: &mut Client, n: i64) -> RequestOutcome {
     run(client, &format!("UPDATE ticks SET n = {n} WHERE id = 1"))
 }
 
@@ -70,7 +70,7 @@
     rows(client, "SHOW cicadawick.token").unwrap()[0][0].clone().unwrap()
 }
 
-fn connect_with(proxy: &Proxy, token: &str) -> Client {
+fn connect_with(proxy: &ProxyProcess, token: &str) -> Client {
     proxy.try_connect("billing", &format!("-c cicadawick.token={token}")).unwrap()
 }
 
@@ -87,7 +87,7 @@
     fleet.links.set_delay("billing-1", way, way).unwrap();
     let mut absent = far.connect();
     for n in 1..=60 {
-        assert_eq!(write_tick(&mut client, n), CallerAnswer::Done(1));
+        assert_eq!(write_tick(&mut client, n), RequestOutcome::Done(1));
         assert_eq!(read_tick(&mut client), Ok(n), "own write through the same proxy");
         let token = token(&mut client);
         assert_eq!(read_tick(&mut connect_with(far, &token)), Ok(n), "token at start-up");
@@ -116,13 +116,13 @@
 }
 
 #[test]
-fn tokens_outlive_a_change_of_keys() {
+fn tokens_stay_valid_while_their_key_is_listed() {
     let fleet = SessionFleet::start(setup(group()));
     let (near, far) = (&fleet.proxies[0], &fleet.proxies[1]);
     let mut client = near.connect();
     create_ticks(&mut client);
     set_lag(&fleet, Duration::from_secs(3));
-    assert_eq!(write_tick(&mut client, 1), CallerAnswer::Done(1));
+    assert_eq!(write_tick(&mut client, 1), RequestOutcome::Done(1));
     let old = token(&mut client);
     let keys = |revision: u64, ids: &[u32]| {
         let list: Vec<_> = ids
@@ -140,15 +140,15 @@
     // With both keys the old token is valid; with the new key alone it counts as absent.
     for (revision, ids, is_valid) in [(2, &[1, 2][..], true), (3, &[2][..], false)] {
         let stored = fleet.platform_client().get("cicadawick/token-keys").unwrap().unwrap();
-        fleet.put_keys(&keys(revision, ids), stored.modify_index);
+        fleet.put_token_keys(&keys(revision, ids), stored.modify_index);
         let mut changed = String::new();
         wait_until("the keys are in force", || {
-            assert_eq!(write_tick(&mut client, 2), CallerAnswer::Done(1));
+            assert_eq!(write_tick(&mut client, 2), RequestOutcome::Done(1));
             changed = token(&mut client);
-            let mut other = RawCaller::open(far);
+            let mut other = RawClient::open(far);
             other.query(&format!("SET cicadawick.token = '{changed}'"));
             let accepted = !other.transcript().contains("is ignored");
-            let mut other = RawCaller::open(far);
+            let mut other = RawClient::open(far);
             other.query(&format!("SET cicadawick.token = '{old}'"));
             accepted && changed != old && other.transcript().contains("is ignored") != is_valid
         });
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn own_writes_are_read_during_a_change_of_primary() {
+fn own_writes_are_read_during_a_failover() {
     let fleet = SessionFleet::start(setup(group()));
     let (near, far) = (&fleet.proxies[0], &fleet.proxies[1]);
     let mut client = near.connect();
@@ -174,7 +174,7 @@
             fleet.group.kill("billing-1").unwrap();
             killed = Some(Instant::now());
         }
-        let CallerAnswer::Done(_) = write_tick(&mut client, n) else {
+        let RequestOutcome::Done(_) = write_tick(&mut client, n) else {
             failed += 1;
             continue;
         };
@@ -231,13 +231,13 @@
 /// Reads with an accepted age from both proxies, and measures the age of each answer. Four sessions
 /// stay open; a fifth caller opens a new one for each few reads, as most callers of a fleet do. The
 /// share of replica reads is measured after `settle`, when the sessions' floors are reached, and while
-/// `disturb` runs.
+/// `inject_fault` runs.
 fn read_phase(
     fleet: &SessionFleet,
     ticks: &TickLog,
     accepted: Duration,
     settle: Duration,
-    disturb: impl FnOnce(),
+    inject_fault: impl FnOnce(),
 ) -> PhaseResult {
     let result = Mutex::new(PhaseResult::default());
     let stop = AtomicBool::new(false);
@@ -262,7 +262,7 @@
                             Ok(n) => {
                                 let age = ticks.age(n, at);
                                 result.reads += 1;
-                                result.stale += u64::from(age > accepted + CLOCK_SLACK);
+                                result.stale += u64::from(age > accepted + CLOCK_TOLERANCE);
                                 result.oldest = result.oldest.max(age);
                             }
                             Err(_) => result.failed += 1,
@@ -275,7 +275,7 @@
         }
         std::thread::sleep(settle);
         let before = granted(fleet);
-        disturb();
+        inject_fault();
         let after = granted(fleet);
         let (primary, replicas) = (after.0 - before.0, after.1 - before.1);
         result.lock().unwrap().replica_share = replicas as f64 / (primary + replicas).max(1) as f64;
@@ -303,7 +303,7 @@
             let mut n = 0;
             while !stop.load(Ordering::SeqCst) {
                 // Only the first answer counts; a tick that failed is written again.
-                while write_tick(&mut client, n + 1) != CallerAnswer::Done(1) {}
+                while write_tick(&mut client, n + 1) != RequestOutcome::Done(1) {}
                 n += 1;
                 ticks.0.lock().unwrap().push(Instant::now());
                 std::thread::sleep(Duration::from_millis(4));
--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -22,7 +22,7 @@
 use model::SeededRandom;
 
 /// Longest write outage of a failover.
-const OUTAGE_BOUND: Duration = Duration::from_secs(13);
+const OUTAGE_LIMIT: Duration = Duration::from_secs(13);
 
 /// A fleet with writers on one cluster, whose first database leads.
 struct FailoverRun<'fleet> {
@@ -203,7 +203,7 @@
 #[test]
 fn write_outage_stays_within_its_bound() {
     for figure in measure_failovers(current_fleet(), 4, 1) {
-        assert!(figure.gap < OUTAGE_BOUND, "{:?}", figure.gap);
+        assert!(figure.gap < OUTAGE_LIMIT, "{:?}", figure.gap);
     }
 }
 
@@ -252,11 +252,11 @@
         assert_ne!(run.primary(), old);
     });
     assert!(check.acknowledged > 0);
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 #[test]
-fn frozen_primary_is_replaced_and_thaws_as_a_follower() {
+fn frozen_primary_is_replaced_and_resumes_as_a_follower() {
     let fleet = TestFleet::start(FleetOptions::default());
     let (_, gap) = run_scenario(&fleet, |run| {
         let (old, term) = (run.primary(), run.monitor.last_term());
@@ -268,7 +268,7 @@
         fleet.groups[0].thaw(&old).unwrap();
         wait_until("the old primary follows", || fleet.groups[0].report(&old).unwrap().term > term);
     });
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 #[test]
@@ -297,7 +297,7 @@
         }
         fleet.set_partitioned(0, false, true);
     });
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 /// When the platform becomes unavailable.
@@ -357,11 +357,11 @@
             });
         }
     });
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 #[test]
-fn supervisor_paused_in_a_promotion_does_no_harm_when_it_goes_on() {
+fn supervisor_resumed_after_a_promotion_causes_no_violation() {
     let fleet = TestFleet::start(FleetOptions::default());
     // The supervisor waits for the answer to its record while it is paused.
     fleet.platform.set_slow(Duration::from_millis(400));
@@ -385,7 +385,7 @@
         run.wait_for_writes(resumed);
         fleet.groups[0].restart(&old).unwrap();
     });
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 #[test]
@@ -403,7 +403,7 @@
         });
         fleet.groups[0].restart(&old).unwrap();
     });
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 #[test]
@@ -424,7 +424,7 @@
         fleet.node(node).signal("-CONT");
         fleet.platform.set_outage(OutageMode::None).unwrap();
     });
-    assert!(gap < OUTAGE_BOUND, "{gap:?}");
+    assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
 /// Guards against a check that notices nothing: writers that go around the proxies get
--- a/crates/daemon/tests/operators.rs
+++ b/crates/daemon/tests/operators.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use common::Fleet;
+use common::LocalFleet;
 use daemon::{RunOptions, run};
 
 fn status(method: &str, url: &str) -> u16 {
@@ -21,7 +21,7 @@
 
 #[test]
 fn operators_see_state_and_drain_a_proxy() {
-    let mut fleet = Fleet::start(1);
+    let mut fleet = LocalFleet::start(1);
     let mut proxy = fleet.proxies.remove(0);
     let mut client = proxy.connect();
     client.batch_execute("SELECT 1").unwrap();
--- a/crates/daemon/tests/ownership.rs
+++ b/crates/daemon/tests/ownership.rs
@@ -16,21 +16,21 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use common::fleet::{FleetOptions, TestFleet, cluster_name, link, node_name, run_client};
+use common::fleet::{FleetOptions, TestFleet, cluster_name, link_name, node_name, run_cli};
 use common::history::{TermLog, WriteOutcome, WriteRecord, check_history, final_rows};
 use common::{code, rows, temporary_file, wait_until};
 use postgres::NoTls;
 use serde_json::Value;
 
 /// Callers of each node. Together they keep more than the slots of a database busy.
-const CALLERS: usize = 4;
+const CLIENTS_PER_NODE: usize = 4;
 
 /// What a caller saw.
 #[derive(Debug, Default)]
-struct CallerLog {
+struct ClientLog {
     writes: Vec<WriteRecord>,
     /// Answers that were not those of their request.
-    mixed: Vec<String>,
+    mismatched: Vec<String>,
     /// SQLSTATE, or `closed`, of every failed write and of every failed read.
     write_errors: Vec<String>,
     read_errors: Vec<String>,
@@ -38,18 +38,18 @@
 }
 
 /// A caller that writes a row with a new number and reads it back; drop stops it.
-struct NumberedCaller {
+struct NumberedClient {
     node: usize,
-    log: Arc<Mutex<CallerLog>>,
+    log: Arc<Mutex<ClientLog>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 static NEXT_ID: AtomicI64 = AtomicI64::new(1);
 
-impl NumberedCaller {
+impl NumberedClient {
     fn start(node: usize, address: SocketAddr) -> Self {
-        let (log, stop) = (Arc::<Mutex<CallerLog>>::default(), Arc::new(AtomicBool::new(false)));
+        let (log, stop) = (Arc::<Mutex<ClientLog>>::default(), Arc::new(AtomicBool::new(false)));
         let (shared, flag) = (log.clone(), stop.clone());
         let thread = std::thread::spawn(move || {
             let mut config = postgres::Config::new();
@@ -62,14 +62,14 @@
                     std::thread::sleep(Duration::from_millis(20));
                     continue;
                 };
-                call_once(open, node, &shared);
+                write_and_read(open, node, &shared);
                 if open.is_closed() {
                     client = None;
                 }
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
-        NumberedCaller { node, log, stop, thread: Some(thread) }
+        NumberedClient { node, log, stop, thread: Some(thread) }
     }
 
     fn acknowledged_since(&self, since: Instant) -> bool {
@@ -79,20 +79,20 @@
     }
 
     /// Lets the request in progress end.
-    fn finish(mut self) -> CallerLog {
+    fn finish(mut self) -> ClientLog {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.take().unwrap().join().unwrap();
         std::mem::take(&mut *self.log.lock().unwrap())
     }
 }
 
-impl Drop for NumberedCaller {
+impl Drop for NumberedClient {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
     }
 }
 
-fn call_once(client: &mut postgres::Client, node: usize, log: &Mutex<CallerLog>) {
+fn write_and_read(client: &mut postgres::Client, node: usize, log: &Mutex<ClientLog>) {
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let sent = Instant::now();
     let result = client.batch_execute(&format!("INSERT INTO rows VALUES ({id})"));
@@ -120,17 +120,17 @@
         Ok(read) => {
             log.reads += 1;
             if read != [[Some(id.to_string())]] {
-                log.mixed.push(format!("request {id}: {read:?}"));
+                log.mismatched.push(format!("request {id}: {read:?}"));
             }
         }
         Err(code) => log.read_errors.push(code),
     }
 }
 
-fn start_callers(fleet: &TestFleet, nodes: &[usize]) -> Vec<NumberedCaller> {
+fn start_clients(fleet: &TestFleet, nodes: &[usize]) -> Vec<NumberedClient> {
     let callers = nodes.iter().flat_map(|node| {
         let address = fleet.node(*node).caller_address;
-        (0..CALLERS).map(move |_| NumberedCaller::start(*node, address))
+        (0..CLIENTS_PER_NODE).map(move |_| NumberedClient::start(*node, address))
     });
     callers.collect()
 }
@@ -140,7 +140,7 @@
     setup.unwrap().batch_execute("CREATE TABLE rows (id bigint)").unwrap();
 }
 
-fn wait_for_writes(callers: &[NumberedCaller], since: Instant) {
+fn wait_for_writes(callers: &[NumberedClient], since: Instant) {
     for caller in callers {
         wait_until("every caller's writes are acknowledged", || caller.acknowledged_since(since));
     }
@@ -156,14 +156,14 @@
 
 /// Ends the callers, checks what they saw, and that nothing is left behind. Callers of the nodes in
 /// `ended` may have seen their session end. Returns the numbers of writes with an unknown outcome that ran.
-fn check_run(mut fleet: TestFleet, callers: Vec<NumberedCaller>, ended: &[usize]) -> Vec<i64> {
+fn check_results(mut fleet: TestFleet, callers: Vec<NumberedClient>, ended: &[usize]) -> Vec<i64> {
     let mut records = Vec::new();
     let mut reads = 0;
     let mut errors = std::collections::BTreeMap::<String, usize>::new();
     for caller in callers {
         let node = caller.node;
         let log = caller.finish();
-        assert_eq!(log.mixed, Vec::<String>::new(), "answers of other requests");
+        assert_eq!(log.mismatched, Vec::<String>::new(), "answers of other requests");
         // A write is refused or unknown. A read that began may also have broken off, which 08006 says.
         let writes = log.write_errors.into_iter().map(|code| (code, "08007"));
         let reads_failed = log.read_errors.into_iter().map(|code| (code, "08006"));
@@ -228,7 +228,7 @@
     create_table(&fleet);
     let primary = fleet.groups[0].primary().unwrap();
     let owner = owner_of(&fleet, 0, &primary);
-    let callers = start_callers(&fleet, &[0, 1, 2]);
+    let callers = start_clients(&fleet, &[0, 1, 2]);
     wait_for_writes(&callers, Instant::now());
     // Drop kills the process.
     fleet.nodes[owner] = None;
@@ -239,23 +239,23 @@
     println!("writes through all others {:?} after the kill", killed.elapsed());
     let asked = (0..3).find(|node| *node != owner).unwrap();
     assert_ne!(owner_of(&fleet, asked, &primary), owner);
-    check_run(fleet, alive.into_iter().chain(dead).collect(), &[owner]);
+    check_results(fleet, alive.into_iter().chain(dead).collect(), &[owner]);
 }
 
 // Guards against harm done by two owners of one database, which a partition between nodes that both
 // reach the databases brings about.
 #[test]
-fn two_owners_at_once_keep_limits_and_answers() {
+fn two_owners_at_once_respect_limits_and_answer_correctly() {
     let fleet =
         TestFleet::start(FleetOptions { data_centres: 2, nodes: 4, ..FleetOptions::default() });
     create_table(&fleet);
     let primary = fleet.groups[0].primary().unwrap();
-    let callers = start_callers(&fleet, &[0, 1, 2, 3]);
+    let callers = start_clients(&fleet, &[0, 1, 2, 3]);
     wait_for_writes(&callers, Instant::now());
     let across = |cut: bool| {
         for (node, other) in (0..4).flat_map(|node| (0..4).map(move |other| (node, other))) {
             if fleet.centre(node) != fleet.centre(other) {
-                let name = link(node, &node_name(other));
+                let name = link_name(node, &node_name(other));
                 fleet.links.set_cut(&name, cut, cut).unwrap();
                 if !cut {
                     fleet.links.drop_connections(&name).unwrap();
@@ -271,7 +271,7 @@
     across(false);
     wait_until("one owner is left", one_owner);
     wait_for_writes(&callers, Instant::now());
-    check_run(fleet, callers, &[]);
+    check_results(fleet, callers, &[]);
 }
 
 // Guards against requests that are interrupted or mixed when owners move because nodes drain and start.
@@ -280,7 +280,7 @@
     let mut fleet =
         TestFleet::start(FleetOptions { data_centres: 1, nodes: 4, ..FleetOptions::default() });
     create_table(&fleet);
-    let mut callers = start_callers(&fleet, &[0, 1, 2, 3]);
+    let mut callers = start_clients(&fleet, &[0, 1, 2, 3]);
     wait_for_writes(&callers, Instant::now());
     let mut finished = Vec::new();
     for node in [3, 2] {
@@ -292,12 +292,12 @@
     }
     for node in [2, 3] {
         fleet.start_node(node);
-        callers.extend(start_callers(&fleet, &[node]));
+        callers.extend(start_clients(&fleet, &[node]));
         wait_for_writes(&callers, Instant::now());
     }
     callers.extend(finished);
     // A drained node answers what it has begun: sessions end between requests.
-    let interrupted = check_run(fleet, callers, &[2, 3]);
+    let interrupted = check_results(fleet, callers, &[2, 3]);
     assert_eq!(interrupted, Vec::<i64>::new(), "writes that ran and were not answered");
 }
 
@@ -313,7 +313,7 @@
     let asked = (0..2).find(|node| *node != owner).unwrap();
     let mut client = fleet.node(asked).try_connect(&cluster_name(0), "").unwrap();
     client.batch_execute("INSERT INTO rows VALUES (1)").unwrap();
-    fleet.links.set_delay(&link(asked, &node_name(owner)), ONE_WAY, ONE_WAY).unwrap();
+    fleet.links.set_delay(&link_name(asked, &node_name(owner)), ONE_WAY, ONE_WAY).unwrap();
     let write = std::thread::spawn(move || {
         client.batch_execute("INSERT INTO rows VALUES (2)").map_err(|error| code(&error))
     });
@@ -337,7 +337,7 @@
     let path = temporary_file("leaving");
     std::fs::write(&path, document.to_string()).unwrap();
     let before = fleet.revision(0);
-    let run = run_client(fleet.platform.address(), &["apply", path.to_str().unwrap()]);
+    let run = run_cli(fleet.platform.address(), &["apply", path.to_str().unwrap()]);
     std::fs::remove_file(&path).unwrap();
     assert_eq!(run.code, 0, "{run:?}");
     wait_until("the change is active", || {
@@ -407,7 +407,7 @@
     apply_leaving(&fleet, &[]);
     let primary = fleet.groups[0].primary().unwrap();
     let replica = fleet.groups[0].names().iter().find(|name| **name != primary).unwrap().clone();
-    let callers = start_callers(&fleet, &[0, 1]);
+    let callers = start_clients(&fleet, &[0, 1]);
     let readers = CatalogueReaders::start(&fleet);
     let start = granted(&fleet, &replica);
     wait_until("the replica serves reads", || granted(&fleet, &replica) > start + 50);
@@ -418,7 +418,7 @@
     assert_eq!([&primary, &replica].map(|name| granted(&fleet, name)), then, "new statements");
     wait_for_writes(&callers, Instant::now());
     readers.finish();
-    check_run(fleet, callers, &[]);
+    check_results(fleet, callers, &[]);
 }
 
 // Guards against an open transaction that is cut off because its backend server, the primary, leaves.
--- a/crates/daemon/tests/payments.rs
+++ b/crates/daemon/tests/payments.rs
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Proxy, wait_until};
+use common::{ProxyProcess, wait_until};
 use fake::faultproxy::Direction;
 use postgres::Client;
-use sessions::{CallerAnswer, FleetSetup, SessionFleet, run};
+use sessions::{FleetSetup, RequestOutcome, SessionFleet, run};
 
 const WORKERS: usize = 4;
 
@@ -21,17 +21,17 @@
 const NO_LIMIT: u64 = 1 << 40;
 
 /// A caller's connection that is opened again when it was closed.
-struct Caller<'a> {
-    proxy: &'a Proxy,
+struct ReconnectingClient<'a> {
+    proxy: &'a ProxyProcess,
     client: Client,
 }
 
-impl<'a> Caller<'a> {
-    fn new(proxy: &'a Proxy) -> Self {
-        Caller { proxy, client: proxy.connect() }
+impl<'a> ReconnectingClient<'a> {
+    fn new(proxy: &'a ProxyProcess) -> Self {
+        ReconnectingClient { proxy, client: proxy.connect() }
     }
 
-    fn run(&mut self, sql: &str) -> CallerAnswer {
+    fn run(&mut self, sql: &str) -> RequestOutcome {
         if self.client.is_closed() {
             self.client = self.proxy.connect();
         }
@@ -40,14 +40,14 @@
 }
 
 /// The statement of one purchase. Numbers have the same width, so all conversations are equally long.
-fn purchase(number: usize, keyed: bool) -> String {
-    let key = if keyed { format!("/*request_key='k{number:06}'*/ ") } else { String::new() };
+fn purchase(number: usize, with_key: bool) -> String {
+    let key = if with_key { format!("/*request_key='k{number:06}'*/ ") } else { String::new() };
     format!("{key}INSERT INTO purchases VALUES ({number}, 'meter-{number:06}')")
 }
 
 /// Text that the first piece of the conversation about a purchase holds.
-fn marker(number: usize, keyed: bool) -> String {
-    if keyed { format!("k{number:06}") } else { format!("meter-{number:06}") }
+fn marker(number: usize, with_key: bool) -> String {
+    if with_key { format!("k{number:06}") } else { format!("meter-{number:06}") }
 }
 
 /// Counts the rows of each purchase.
@@ -61,20 +61,20 @@
 }
 
 /// Ends the backend connection after every byte of a purchase's conversation in turn.
-fn cut_every_byte(keyed: bool) {
+fn cut_every_byte(with_key: bool) {
     let mut setup = FleetSetup::new(2);
     setup.group.open_time = Duration::ZERO;
     let fleet = SessionFleet::start(setup);
     let mut caller = fleet.proxies[0].connect();
     caller.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
-    // The first keyed purchase makes the table of keys.
-    assert_eq!(run(&mut caller, &purchase(100_000, keyed)), CallerAnswer::Done(1));
+    // The first purchase with a key makes the table of keys.
+    assert_eq!(run(&mut caller, &purchase(100_000, with_key)), RequestOutcome::Done(1));
     let mut boundaries = Vec::new();
     for direction in [Direction::ToUpstream, Direction::ToCaller] {
         let number = 100_001 + boundaries.len();
-        let mark = marker(number, keyed);
+        let mark = marker(number, with_key);
         fleet.links.limit_marked("billing-1", &mark, direction, NO_LIMIT).unwrap();
-        assert_eq!(run(&mut caller, &purchase(number, keyed)), CallerAnswer::Done(1));
+        assert_eq!(run(&mut caller, &purchase(number, with_key)), RequestOutcome::Done(1));
         let length = fleet.links.clear_marked("billing-1", &mark).unwrap()[0];
         boundaries.extend((0..=length).map(|bytes| (direction, bytes)));
     }
@@ -85,13 +85,14 @@
     std::thread::scope(|scope| {
         for _ in 0..WORKERS {
             scope.spawn(|| {
-                let mut callers: Vec<Caller> = fleet.proxies.iter().map(Caller::new).collect();
-                let mut checker = fleet.direct("billing-1");
+                let mut callers: Vec<ReconnectingClient> =
+                    fleet.proxies.iter().map(ReconnectingClient::new).collect();
+                let mut checker = fleet.connect_directly("billing-1");
                 loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
                     let Some(&(direction, bytes)) = boundaries.get(at) else { return };
                     let number = 200_000 + at;
-                    let (sql, mark) = (purchase(number, keyed), marker(number, keyed));
+                    let (sql, mark) = (purchase(number, with_key), marker(number, with_key));
                     fleet.links.limit_marked("billing-1", &mark, direction, bytes).unwrap();
                     let answer = callers[at % 2].run(&sql);
                     let unused = fleet.links.clear_marked("billing-1", &mark).unwrap();
@@ -100,15 +101,15 @@
                     let rows = checker.query(&query, &[]).unwrap().len();
                     let context = format!("{direction:?} {bytes}: {answer:?}, {rows} rows");
                     match &answer {
-                        CallerAnswer::Done(1) => assert_eq!(rows, 1, "{context}"),
+                        RequestOutcome::Done(1) => assert_eq!(rows, 1, "{context}"),
                         answer if answer.is_not_run() => assert_eq!(rows, 0, "{context}"),
                         answer => {
                             assert!(answer.is_unknown() && rows <= 1, "{context}");
                         }
                     }
-                    if keyed {
+                    if with_key {
                         let retry = callers[(at + 1) % 2].run(&sql);
-                        assert_eq!(retry, CallerAnswer::Done(1), "{context}: retry");
+                        assert_eq!(retry, RequestOutcome::Done(1), "{context}: retry");
                         let rows = checker.query(&query, &[]).unwrap().len();
                         assert_eq!(rows, 1, "{context}: after the retry");
                     }
@@ -125,27 +126,27 @@
     for (number, answer) in &answers {
         let rows = counts.get(number).copied().unwrap_or(0);
         let name = match answer {
-            CallerAnswer::Done(_) => "acknowledged".to_owned(),
-            CallerAnswer::Error(code) => format!("{code} with {rows} rows"),
+            RequestOutcome::Done(_) => "acknowledged".to_owned(),
+            RequestOutcome::Error(code) => format!("{code} with {rows} rows"),
         };
         *tally.entry(name).or_default() += 1;
         match answer {
-            _ if keyed => assert_eq!(rows, 1, "{number} {answer:?}"),
-            CallerAnswer::Done(_) => assert_eq!(rows, 1, "{number}"),
+            _ if with_key => assert_eq!(rows, 1, "{number} {answer:?}"),
+            RequestOutcome::Done(_) => assert_eq!(rows, 1, "{number}"),
             answer if answer.is_not_run() => assert_eq!(rows, 0, "{number} {answer:?}"),
             _ => assert!(rows <= 1, "{number} {answer:?}: {rows} rows"),
         }
     }
     assert_eq!(answers.len(), boundaries.len());
     println!(
-        "keyed={keyed}: {} byte boundaries in {:.1} s: {tally:?}",
+        "keyed={with_key}: {} byte boundaries in {:.1} s: {tally:?}",
         boundaries.len(),
         started.elapsed().as_secs_f64()
     );
 }
 
 #[test]
-fn keyed_purchase_survives_a_cut_after_every_byte() {
+fn purchase_with_a_key_survives_a_cut_after_every_byte() {
     cut_every_byte(true);
 }
 
@@ -154,19 +155,19 @@
     cut_every_byte(false);
 }
 
-/// Retries a keyed statement until it is acknowledged.
-fn retry_until_done(proxies: &[&Proxy], sql: &str) -> u64 {
+/// Retries a statement with a key until it is acknowledged.
+fn retry_until_done(proxies: &[&ProxyProcess], sql: &str) -> u64 {
     let mut outcome = 0;
     let mut turn = 0;
     wait_until("a retry is acknowledged", || {
         turn += 1;
         let client = proxies[turn % proxies.len()].try_connect("billing", "");
         match client.map(|mut client| run(&mut client, sql)) {
-            Ok(CallerAnswer::Done(count)) => {
+            Ok(RequestOutcome::Done(count)) => {
                 outcome = count;
                 true
             }
-            Ok(CallerAnswer::Error(code)) => {
+            Ok(RequestOutcome::Error(code)) => {
                 assert!(
                     code.starts_with("WK") || code.starts_with("08") || code == "closed",
                     "{code}"
@@ -179,9 +180,9 @@
     outcome
 }
 
-/// Starts many keyed purchases over a slow link, disturbs them in the middle, retries all of them
+/// Starts many purchases with a key over a slow link, disturbs them in the middle, retries all of them
 /// through other proxies and checks that each has run once.
-fn disturb(mut fleet: SessionFleet, disturbance: impl FnOnce(&mut SessionFleet)) {
+fn run_with_fault(mut fleet: SessionFleet, inject_fault: impl FnOnce(&mut SessionFleet)) {
     const COUNT: usize = 40;
     let mut caller = fleet.proxies[0].connect();
     caller.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
@@ -190,8 +191,8 @@
         let sql = format!("INSERT INTO vouchers VALUES ({number}, 'v'), ({number}, 'w')");
         caller.batch_execute(&sql).unwrap();
     }
-    assert_eq!(run(&mut caller, &purchase(900, true)), CallerAnswer::Done(1));
-    // Each step of a conversation takes 30 ms and the starts are spread, so that the disturbance
+    assert_eq!(run(&mut caller, &purchase(900, true)), RequestOutcome::Done(1));
+    // Each step of a conversation takes 30 ms and the starts are spread, so that the inject_fault
     // meets purchases in all phases.
     let way = Duration::from_millis(15);
     fleet.links.set_delay("billing-1", way, way).unwrap();
@@ -211,22 +212,22 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(150));
-    disturbance(&mut fleet);
+    inject_fault(&mut fleet);
     fleet.links.set_delay("billing-1", Duration::ZERO, Duration::ZERO).unwrap();
-    let answers: Vec<CallerAnswer> =
+    let answers: Vec<RequestOutcome> =
         requests.into_iter().map(|request| request.join().unwrap()).collect();
     let before = purchases(&fleet);
     for (number, answer) in answers.iter().enumerate().filter(|(number, _)| number % 2 == 0) {
         match answer {
-            CallerAnswer::Done(_) => assert_eq!(before.get(&number), Some(&1), "{number} lost"),
+            RequestOutcome::Done(_) => assert_eq!(before.get(&number), Some(&1), "{number} lost"),
             answer if answer.is_not_run() => assert_eq!(before.get(&number), None, "{number}"),
             answer => assert!(answer.is_unknown(), "{number} {answer:?}"),
         }
     }
-    let alive: Vec<&Proxy> = fleet.proxies.iter().collect();
+    let alive: Vec<&ProxyProcess> = fleet.proxies.iter().collect();
     for (number, answer) in answers.iter().enumerate() {
         let expected = if number % 2 == 0 { 1 } else { 2 };
-        if let CallerAnswer::Done(count) = answer {
+        if let RequestOutcome::Done(count) = answer {
             assert_eq!(*count, expected, "{number}");
         }
         assert_eq!(retry_until_done(&alive, &statement(number)), expected, "retry of {number}");
@@ -237,13 +238,14 @@
     }
     let left = fleet.group.table("vouchers").unwrap().rows.len();
     assert_eq!(left, COUNT, "vouchers of even numbers are left, two each");
-    let done = answers.iter().filter(|answer| matches!(answer, CallerAnswer::Done(_))).count();
+    let done = answers.iter().filter(|answer| matches!(answer, RequestOutcome::Done(_))).count();
     println!("{done} of {COUNT} acknowledged at the first try, all exactly once after the retry");
 }
 
 /// Index of the proxy that owns the primary.
 fn owner(fleet: &SessionFleet) -> usize {
-    let owns = |proxy: &Proxy| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
+    let owns =
+        |proxy: &ProxyProcess| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
     fleet.proxies.iter().position(owns).unwrap()
 }
 
@@ -254,24 +256,24 @@
 }
 
 #[test]
-fn purchase_survives_the_death_of_its_entry_proxy() {
-    disturb(SessionFleet::start(FleetSetup::new(3)), |fleet| {
+fn purchase_survives_a_killed_entry_proxy() {
+    run_with_fault(SessionFleet::start(FleetSetup::new(3)), |fleet| {
         let at = usize::from(owner(fleet) == 0);
         kill_proxy(fleet, at);
     });
 }
 
 #[test]
-fn purchase_survives_the_death_of_the_owner() {
-    disturb(SessionFleet::start(FleetSetup::new(3)), |fleet| {
+fn purchase_survives_a_killed_owner() {
+    run_with_fault(SessionFleet::start(FleetSetup::new(3)), |fleet| {
         let at = owner(fleet);
         kill_proxy(fleet, at);
     });
 }
 
 #[test]
-fn purchase_survives_a_change_of_primary() {
-    disturb(SessionFleet::start(FleetSetup::new(2)), |fleet| {
+fn purchase_survives_a_failover() {
+    run_with_fault(SessionFleet::start(FleetSetup::new(2)), |fleet| {
         fleet.group.kill("billing-1").unwrap();
         wait_until("another database leads", || {
             fleet.group.primary().is_some_and(|primary| primary != "billing-1")
@@ -280,7 +282,7 @@
 }
 
 /// Starts purchases without a key, disturbs them in the middle and checks what each caller was told.
-fn disturb_without_keys(disturbance: impl FnOnce(&mut SessionFleet)) {
+fn check_fault_without_keys(inject_fault: impl FnOnce(&mut SessionFleet)) {
     const COUNT: usize = 60;
     let mut fleet = SessionFleet::start(FleetSetup::new(3));
     let mut caller = fleet.proxies[0].connect();
@@ -297,9 +299,9 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(150));
-    disturbance(&mut fleet);
+    inject_fault(&mut fleet);
     fleet.links.set_delay("billing-1", Duration::ZERO, Duration::ZERO).unwrap();
-    let answers: Vec<CallerAnswer> =
+    let answers: Vec<RequestOutcome> =
         requests.into_iter().map(|request| request.join().unwrap()).collect();
     // Statements of connections that ended have ended by now.
     std::thread::sleep(Duration::from_millis(200));
@@ -308,7 +310,7 @@
     for (number, answer) in answers.iter().enumerate() {
         let rows = counts.get(&number).copied().unwrap_or(0);
         match answer {
-            CallerAnswer::Done(count) => assert_eq!((*count, rows), (1, 1), "{number}"),
+            RequestOutcome::Done(count) => assert_eq!((*count, rows), (1, 1), "{number}"),
             answer if answer.is_not_run() => assert_eq!(rows, 0, "{number} {answer:?}"),
             answer => assert!(answer.is_unknown() && rows <= 1, "{number} {answer:?}: {rows}"),
         }
@@ -318,16 +320,16 @@
 }
 
 #[test]
-fn callers_without_a_key_are_told_the_truth_after_the_death_of_the_owner() {
-    disturb_without_keys(|fleet| {
+fn outcome_without_a_key_is_correct_after_a_killed_owner() {
+    check_fault_without_keys(|fleet| {
         let at = owner(fleet);
         kill_proxy(fleet, at);
     });
 }
 
 #[test]
-fn callers_without_a_key_are_told_the_truth_after_a_change_of_primary() {
-    disturb_without_keys(|fleet| {
+fn outcome_without_a_key_is_correct_after_a_failover() {
+    check_fault_without_keys(|fleet| {
         fleet.group.kill("billing-1").unwrap();
         wait_until("another database leads", || {
             fleet.group.primary().is_some_and(|primary| primary != "billing-1")
@@ -344,12 +346,12 @@
         (0..4).map(|number| fleet.proxies[number % 2].connect()).collect();
     for number in 0..20 {
         let sql = purchase(number, true);
-        let answers: Vec<CallerAnswer> = std::thread::scope(|scope| {
+        let answers: Vec<RequestOutcome> = std::thread::scope(|scope| {
             let requests: Vec<_> =
                 clients.iter_mut().map(|client| scope.spawn(|| run(client, &sql))).collect();
             requests.into_iter().map(|request| request.join().unwrap()).collect()
         });
-        assert_eq!(answers, vec![CallerAnswer::Done(1); 4], "purchase {number}");
+        assert_eq!(answers, vec![RequestOutcome::Done(1); 4], "purchase {number}");
     }
     let counts = purchases(&fleet);
     assert!(counts.len() == 20 && counts.values().all(|count| *count == 1), "{counts:?}");
@@ -358,8 +360,8 @@
     for proxy in &fleet.proxies {
         let mut client = proxy.connect();
         let sql = "/*request_key='k000001'*/ INSERT INTO purchases VALUES (77, 'other')";
-        assert_eq!(run(&mut client, sql), CallerAnswer::Error("22023".to_owned()));
-        assert_eq!(run(&mut client, &purchase(1, true)), CallerAnswer::Done(1));
+        assert_eq!(run(&mut client, sql), RequestOutcome::Error("22023".to_owned()));
+        assert_eq!(run(&mut client, &purchase(1, true)), RequestOutcome::Done(1));
     }
     assert_eq!(purchases(&fleet).get(&77), None);
 }
--- a/crates/daemon/tests/ranks.rs
+++ b/crates/daemon/tests/ranks.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::time::{Duration, Instant};
 
-use common::fleet::{FleetOptions, TestFleet, cluster_name, run_client};
+use common::fleet::{FleetOptions, TestFleet, cluster_name, run_cli};
 use common::history::final_rows;
 use common::{code, temporary_file, wait_until};
 use postgres::NoTls;
@@ -35,7 +35,7 @@
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
-struct CallRecord {
+struct RequestRecord {
     id: i64,
     sent: Instant,
     took: Duration,
@@ -65,7 +65,7 @@
     document["ranks"] = Value::Object(shares.into_iter().collect());
     let path = temporary_file("ranks");
     std::fs::write(&path, document.to_string()).unwrap();
-    let run = run_client(fleet.platform.address(), &["apply", path.to_str().unwrap()]);
+    let run = run_cli(fleet.platform.address(), &["apply", path.to_str().unwrap()]);
     std::fs::remove_file(&path).unwrap();
     assert_eq!(run.code, 0, "{run:?}");
     wait_until("the configuration is active", || (0..3).all(|node| fleet.revision(node) == 2));
@@ -75,12 +75,12 @@
 }
 
 /// Sends one request each period until told to stop; a late answer delays the next one.
-fn call_until(
+fn send_until(
     address: SocketAddr,
     kind: &str,
     period: Duration,
     stop: &AtomicBool,
-) -> Vec<CallRecord> {
+) -> Vec<RequestRecord> {
     let mut config = postgres::Config::new();
     config.host(&address.ip().to_string()).port(address.port()).user("vendor");
     config.dbname(&cluster_name(0)).options(&format!("-c cicadawick.labels=kind={kind}"));
@@ -93,13 +93,13 @@
         due = due.max(sent) + period;
         let result = client.batch_execute(&format!("INSERT INTO {kind} VALUES ({id})"));
         let failed = result.err().map(|error| code(&error));
-        records.push(CallRecord { id, sent, took: sent.elapsed(), failed });
+        records.push(RequestRecord { id, sent, took: sent.elapsed(), failed });
     }
     records
 }
 
 /// Callers of one kind.
-struct CallerGroup {
+struct ClientGroup {
     kind: &'static str,
     callers: u32,
     /// Requests each second of all callers together.
@@ -109,9 +109,9 @@
 /// Runs groups of callers spread over the proxies, with `during` in the middle; returns their records.
 fn run_groups(
     fleet: &TestFleet,
-    groups: &[CallerGroup],
+    groups: &[ClientGroup],
     during: impl FnOnce(),
-) -> Vec<Vec<CallRecord>> {
+) -> Vec<Vec<RequestRecord>> {
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let stop = &stop;
@@ -124,7 +124,7 @@
                     let kind = group.kind;
                     scope.spawn(move || {
                         std::thread::sleep(period * caller / group.callers);
-                        call_until(address, kind, period, stop)
+                        send_until(address, kind, period, stop)
                     })
                 };
                 (0..group.callers).map(start).collect()
@@ -132,7 +132,7 @@
             .collect();
         during();
         stop.store(true, Ordering::SeqCst);
-        let join = |group: Vec<std::thread::ScopedJoinHandle<'_, Vec<CallRecord>>>| {
+        let join = |group: Vec<std::thread::ScopedJoinHandle<'_, Vec<RequestRecord>>>| {
             group.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
         };
         threads.into_iter().map(join).collect()
@@ -141,7 +141,7 @@
 
 /// Checks that what was acknowledged ran once and that what was refused did not run; returns the
 /// numbers of acknowledged and refused requests.
-fn check_records(fleet: &TestFleet, kind: &str, records: &[CallRecord]) -> (usize, usize) {
+fn check_records(fleet: &TestFleet, kind: &str, records: &[RequestRecord]) -> (usize, usize) {
     let written = final_rows(&fleet.groups[0], kind);
     let distinct: BTreeSet<i64> = written.iter().copied().collect();
     assert_eq!(distinct.len(), written.len(), "a request of {kind} ran twice");
@@ -168,12 +168,12 @@
 // Guards against batch work that delays urgent work, refusals of requests that ran, and a backlog that
 // outlives its flood.
 #[test]
-fn urgent_work_meets_its_deadline_in_a_batch_flood() {
+fn urgent_requests_meet_their_deadline_in_a_batch_overload() {
     let fleet = start_fleet();
     let length = Duration::from_secs(5);
     let groups = [
-        CallerGroup { kind: "token", callers: 20, rate: 40 },
-        CallerGroup { kind: "reading", callers: 300, rate: 300 },
+        ClientGroup { kind: "token", callers: 20, rate: 40 },
+        ClientGroup { kind: "reading", callers: 300, rate: 300 },
     ];
     let records = run_groups(&fleet, &groups, || std::thread::sleep(length));
     let (_, refused) = check_records(&fleet, "token", &records[0]);
@@ -191,9 +191,9 @@
     // The flood is over when its last caller has its answer.
     let ended = records[1].iter().map(|record| record.sent + record.took).max().unwrap();
     let groups = [
-        CallerGroup { kind: "token", callers: 6, rate: 20 },
-        CallerGroup { kind: "balance", callers: 6, rate: 10 },
-        CallerGroup { kind: "reading", callers: 6, rate: 10 },
+        ClientGroup { kind: "token", callers: 6, rate: 20 },
+        ClientGroup { kind: "balance", callers: 6, rate: 10 },
+        ClientGroup { kind: "reading", callers: 6, rate: 10 },
     ];
     let records = run_groups(&fleet, &groups, || std::thread::sleep(Duration::from_secs(2)));
     println!("after the flood: {:?}", ended.elapsed());
@@ -205,12 +205,12 @@
 
 // Guards against urgent work that takes the minimum shares of the other ranks.
 #[test]
-fn other_ranks_keep_their_floor_in_an_urgent_flood() {
+fn other_ranks_keep_their_minimum_share_in_an_urgent_overload() {
     let fleet = start_fleet();
     let groups = [
-        CallerGroup { kind: "token", callers: 300, rate: 300 },
-        CallerGroup { kind: "balance", callers: 60, rate: 60 },
-        CallerGroup { kind: "reading", callers: 60, rate: 60 },
+        ClientGroup { kind: "token", callers: 300, rate: 300 },
+        ClientGroup { kind: "balance", callers: 60, rate: 60 },
+        ClientGroup { kind: "reading", callers: 60, rate: 60 },
     ];
     let count = || KINDS.map(|(kind, ..)| final_rows(&fleet.groups[0], kind).len());
     let (mut before, mut after) = ([0; 3], [0; 3]);
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -8,12 +8,12 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use common::{Fleet, code, rows, wait_until};
+use common::{LocalFleet, code, rows, wait_until};
 use fake::fakedb::GroupOptions;
 
 #[test]
 fn requests_of_one_session_are_served_through_every_proxy() {
-    let fleet = Fleet::start(2);
+    let fleet = LocalFleet::start(2);
     for (number, proxy) in fleet.proxies.iter().enumerate() {
         let mut client = proxy.connect();
         let table = format!("tokens_{number}");
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn large_answer_is_whole_and_bounded_in_memory() {
-    let fleet = Fleet::start(2);
+fn large_answer_is_complete_and_bounded_in_memory() {
+    let fleet = LocalFleet::start(2);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE readings (id bigint, note text)").unwrap();
     let note = "n".repeat(1_000);
@@ -111,7 +111,7 @@
 }
 
 /// Opens a session without a driver and reads up to its first `ReadyForQuery`.
-fn open_raw(proxy: &common::Proxy) -> TcpStream {
+fn open_raw(proxy: &common::ProxyProcess) -> TcpStream {
     let mut stream = TcpStream::connect(proxy.caller_address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let mut packet = bytes::BytesMut::new();
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn answer_that_breaks_off_ends_with_an_error() {
-    let fleet = Fleet::start(2);
+fn interrupted_answer_ends_with_an_error() {
+    let fleet = LocalFleet::start(2);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE readings (id bigint, note text)").unwrap();
     let note = "n".repeat(60_000);
@@ -178,7 +178,7 @@
 
 #[test]
 fn copy_is_refused_and_leaves_the_session_usable() {
-    let fleet = Fleet::start(1);
+    let fleet = LocalFleet::start(1);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE receipts (id bigint)").unwrap();
     for sql in ["COPY receipts TO STDOUT", "COPY receipts FROM STDIN"] {
@@ -189,7 +189,7 @@
 
 #[test]
 fn flush_answers_a_parse_before_its_sync() {
-    let fleet = Fleet::start(1);
+    let fleet = LocalFleet::start(1);
     let mut stream = open_raw(&fleet.proxies[0]);
     let mut input = bytes::BytesMut::new();
     pg::put_parse(&mut input, "s", "SELECT 7", &[]);
@@ -212,8 +212,8 @@
 }
 
 #[test]
-fn malformed_input_closes_only_its_caller() {
-    let fleet = Fleet::start(1);
+fn malformed_input_closes_only_its_connection() {
+    let fleet = LocalFleet::start(1);
     let proxy = &fleet.proxies[0];
     let mut bystander = proxy.connect();
     let cases: [(&[u8], &str); 6] = [
@@ -245,7 +245,7 @@
 
 #[test]
 fn idle_sessions_hold_no_buffers() {
-    let fleet = Fleet::start(1);
+    let fleet = LocalFleet::start(1);
     let proxy = &fleet.proxies[0];
     let mut idle: Vec<TcpStream> = (0..100).map(|_| open_raw(proxy)).collect();
     let before = proxy.resident_bytes();
@@ -262,7 +262,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let fleet = Fleet::start(1);
+    let fleet = LocalFleet::start(1);
     let mut stream = open_raw(&fleet.proxies[0]);
     let mut input = bytes::BytesMut::new();
     for number in 0..200 {
@@ -280,10 +280,10 @@
 }
 
 #[test]
-fn statement_is_cancelled_by_its_secret_only() {
+fn statement_is_cancelled_only_with_its_secret() {
     let mut options = GroupOptions::new("billing", 3);
     options.slots = 2;
-    let fleet = Fleet::start_with(2, options);
+    let fleet = LocalFleet::start_with(2, options);
     for proxy in &fleet.proxies {
         let mut client = proxy.connect();
         let token = client.cancel_token();
@@ -309,7 +309,7 @@
 
 #[test]
 fn graceful_shutdown_finishes_requests_in_flight() {
-    let mut fleet = Fleet::start(1);
+    let mut fleet = LocalFleet::start(1);
     let mut proxy = fleet.proxies.remove(0);
     let mut idle = proxy.connect();
     let mut busy = proxy.connect();
--- a/crates/daemon/tests/sessions/mod.rs
+++ b/crates/daemon/tests/sessions/mod.rs
@@ -17,7 +17,7 @@
 use postgres::{Client, SimpleQueryMessage};
 use serde_json::{Value, json};
 
-use crate::common::{Proxy, code, start_proxy, wait_until};
+use crate::common::{ProxyProcess, code, start_proxy, wait_until};
 
 /// What a [`SessionFleet`] is made of.
 pub struct FleetSetup {
@@ -47,7 +47,7 @@
 /// A database group behind a fault proxy, a platform and proxies. The links are named after the
 /// databases.
 pub struct SessionFleet {
-    pub proxies: Vec<Proxy>,
+    pub proxies: Vec<ProxyProcess>,
     pub links: FaultProxy,
     pub group: DatabaseGroup,
     pub platform: FakePlatform,
@@ -77,11 +77,11 @@
         });
         let mut fleet = SessionFleet { proxies: Vec::new(), links, group, platform };
         fleet.put_config(1, &text);
-        fleet.put_keys(&json!([{ "id": 1, "secret": "5a".repeat(32) }]), 0);
+        fleet.put_token_keys(&json!([{ "id": 1, "secret": "5a".repeat(32) }]), 0);
         for data_centre in &setup.proxies {
             fleet.add_proxy(data_centre);
         }
-        fleet.wait_ready();
+        fleet.wait_until_serving();
         fleet
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Writes the token keys over the version with index `index`.
-    pub fn put_keys(&self, keys: &Value, index: u64) {
+    pub fn put_token_keys(&self, keys: &Value, index: u64) {
         let client = self.platform_client();
         let text = keys.to_string();
         assert!(client.put("cicadawick/token-keys", text.as_bytes(), index).unwrap());
@@ -126,7 +126,7 @@
         self.proxies.push(start_proxy(&settings));
     }
 
-    fn wait_ready(&self) {
+    fn wait_until_serving(&self) {
         for proxy in &self.proxies {
             wait_until("the proxies know each other", || {
                 let dump = proxy.get("/v1/dump");
@@ -141,7 +141,7 @@
     }
 
     /// Connects to a database without a proxy.
-    pub fn direct(&self, database: &str) -> Client {
+    pub fn connect_directly(&self, database: &str) -> Client {
         let address = self.group.address(database).unwrap();
         let mut config = postgres::Config::new();
         config.host(&address.ip().to_string()).port(address.port()).user("checker");
@@ -150,7 +150,8 @@
 
     /// Adds a counter of the proxies' state dumps up.
     pub fn counter(&self, section: &str, name: &str) -> u64 {
-        let read = |proxy: &Proxy| proxy.get("/v1/dump")[section][name].as_u64().unwrap_or(0);
+        let read =
+            |proxy: &ProxyProcess| proxy.get("/v1/dump")[section][name].as_u64().unwrap_or(0);
         self.proxies.iter().map(read).sum()
     }
 }
@@ -166,58 +167,58 @@
 
 /// What a caller was told about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerAnswer {
+pub enum RequestOutcome {
     /// Number of rows of the command tag.
     Done(u64),
     Error(String),
 }
 
-impl CallerAnswer {
+impl RequestOutcome {
     pub fn is_not_run(&self) -> bool {
-        matches!(self, CallerAnswer::Error(code) if code.starts_with("WK"))
+        matches!(self, RequestOutcome::Error(code) if code.starts_with("WK"))
     }
 
     pub fn is_unknown(&self) -> bool {
-        matches!(self, CallerAnswer::Error(code) if code == "08007" || code == "closed")
+        matches!(self, RequestOutcome::Error(code) if code == "08007" || code == "closed")
     }
 }
 
 /// Runs a simple query.
-pub fn run(client: &mut Client, sql: &str) -> CallerAnswer {
+pub fn run(client: &mut Client, sql: &str) -> RequestOutcome {
     match client.simple_query(sql) {
         Ok(messages) => {
             let tags = messages.iter().filter_map(|message| match message {
                 SimpleQueryMessage::CommandComplete(count) => Some(*count),
                 _ => None,
             });
-            CallerAnswer::Done(tags.last().unwrap_or(0))
+            RequestOutcome::Done(tags.last().unwrap_or(0))
         }
-        Err(error) => CallerAnswer::Error(code(&error)),
+        Err(error) => RequestOutcome::Error(code(&error)),
     }
 }
 
 /// A caller without a driver.
-pub struct RawCaller {
+pub struct RawClient {
     pub stream: TcpStream,
 }
 
-impl RawCaller {
+impl RawClient {
     /// Opens a session and reads up to its first `ReadyForQuery`.
-    pub fn open(proxy: &Proxy) -> Self {
+    pub fn open(proxy: &ProxyProcess) -> Self {
         let mut packet = BytesMut::new();
         pg::put_startup(&mut packet, &[("user", "vendor"), ("database", "billing")]);
-        let mut caller = RawCaller::start(proxy, &packet);
+        let mut caller = RawClient::start(proxy, &packet);
         caller.read_until(b'Z');
         caller
     }
 
     /// Connects and sends a first packet.
-    pub fn start(proxy: &Proxy, packet: &[u8]) -> Self {
+    pub fn start(proxy: &ProxyProcess, packet: &[u8]) -> Self {
         let mut stream = TcpStream::connect(proxy.caller_address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.write_all(packet).unwrap();
-        RawCaller { stream }
+        RawClient { stream }
     }
 
     pub fn query(&mut self, sql: &str) {
--- a/crates/daemon/tests/transactions.rs
+++ b/crates/daemon/tests/transactions.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use common::{Proxy, rows, wait_until};
+use common::{ProxyProcess, rows, wait_until};
 use fake::faultproxy::Direction;
 use postgres::Client;
-use sessions::{CallerAnswer, FleetSetup, RawCaller, SessionFleet, StopGuard, run};
+use sessions::{FleetSetup, RawClient, RequestOutcome, SessionFleet, StopGuard, run};
 
 /// Starts a fleet whose primary has few connections.
 fn start_small(proxies: usize) -> SessionFleet {
@@ -26,7 +26,8 @@
 
 /// Index of the proxy that owns the primary.
 fn owner(fleet: &SessionFleet) -> usize {
-    let owns = |proxy: &Proxy| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
+    let owns =
+        |proxy: &ProxyProcess| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
     fleet.proxies.iter().position(owns).unwrap()
 }
 
@@ -95,11 +96,11 @@
 }
 
 /// Opens a transaction that holds the lock of one row.
-fn lock_row(proxy: &Proxy, id: i64) -> Client {
+fn lock_row(proxy: &ProxyProcess, id: i64) -> Client {
     let mut client = proxy.connect();
     client.batch_execute("BEGIN").unwrap();
     let update = format!("UPDATE meters SET n = -1 WHERE id = {id}");
-    assert_eq!(run(&mut client, &update), CallerAnswer::Done(1));
+    assert_eq!(run(&mut client, &update), RequestOutcome::Done(1));
     client
 }
 
@@ -120,7 +121,7 @@
         for id in 1..=3 {
             wait_until("the row's lock is released", || {
                 let update = format!("UPDATE meters SET n = n + 1 WHERE id = {id}");
-                run(&mut client, &update) == CallerAnswer::Done(1)
+                run(&mut client, &update) == RequestOutcome::Done(1)
             });
         }
     }
@@ -131,7 +132,7 @@
     // The callers learn that their transactions are gone.
     for client in &mut holders {
         let answer = run(client, "COMMIT");
-        let CallerAnswer::Error(code) = &answer else {
+        let RequestOutcome::Error(code) = &answer else {
             panic!("COMMIT after the kill: {answer:?}")
         };
         assert!(code == "closed" || code == "WK004", "{code}");
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn caller_that_leaves_frees_what_it_held() {
+fn disconnected_client_releases_its_resources() {
     let fleet = start_small(2);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE meters (id bigint, n bigint)").unwrap();
@@ -157,7 +158,7 @@
     for proxy in &fleet.proxies {
         drop(lock_row(proxy, 1));
         // More statements than slots, from callers that leave while they run or wait.
-        let mut leaving: Vec<RawCaller> = (0..5).map(|_| RawCaller::open(proxy)).collect();
+        let mut leaving: Vec<RawClient> = (0..5).map(|_| RawClient::open(proxy)).collect();
         for caller in &mut leaving {
             caller.query("SELECT pg_sleep(30)");
         }
@@ -166,7 +167,7 @@
         });
         drop(leaving);
         let update = "UPDATE meters SET n = n + 1 WHERE id = 1";
-        assert_eq!(run(&mut client, update), CallerAnswer::Done(1));
+        assert_eq!(run(&mut client, update), RequestOutcome::Done(1));
         wait_released(&fleet);
     }
     assert_eq!(fleet.group.table("meters").unwrap().rows[0][1].as_deref(), Some("2"));
@@ -187,7 +188,7 @@
                     while !stop.load(Ordering::SeqCst) {
                         assert_eq!(
                             run(&mut client, "SELECT pg_sleep(0.003)"),
-                            CallerAnswer::Done(1)
+                            RequestOutcome::Done(1)
                         );
                         count += 1;
                     }
@@ -205,8 +206,8 @@
                 token.cancel_query(postgres::NoTls).unwrap();
             });
             match run(&mut client, "SELECT pg_sleep(0.005)") {
-                CallerAnswer::Done(_) => finished += 1,
-                CallerAnswer::Error(code) => {
+                RequestOutcome::Done(_) => finished += 1,
+                RequestOutcome::Error(code) => {
                     assert_eq!(code, "57014");
                     cancelled += 1;
                 }
@@ -240,13 +241,13 @@
 }
 
 #[test]
-fn messages_in_odd_chunks_are_answered_the_same() {
+fn messages_split_at_any_byte_get_the_same_answers() {
     let fleet = start_small(2);
     let input = numbered_requests();
     for proxy in &fleet.proxies {
         let mut answers = Vec::new();
         for chunk in [input.len(), 1, 2, 3, 5, 7, 64] {
-            let mut caller = RawCaller::open(proxy);
+            let mut caller = RawClient::open(proxy);
             for part in input.chunks(chunk) {
                 caller.stream.write_all(part).unwrap();
             }
@@ -272,13 +273,13 @@
     let proxy = &fleet.proxies[0];
     proxy.connect().batch_execute("CREATE TABLE meters (id bigint)").unwrap();
     // The first session leaves its unnamed statement on the connection that both use.
-    let mut first = RawCaller::open(proxy);
+    let mut first = RawClient::open(proxy);
     let mut input = BytesMut::new();
     pg::put_parse(&mut input, "", "INSERT INTO meters VALUES (1)", &[]);
     input.extend_from_slice(b"B\0\0\0\x0c\0\0\0\0\0\0\0\0E\0\0\0\x09\0\0\0\0\0S\0\0\0\x04");
     first.stream.write_all(&input).unwrap();
     assert!(first.transcript().ends_with("complete INSERT 0 1\nready I"));
-    let mut second = RawCaller::open(proxy);
+    let mut second = RawClient::open(proxy);
     let mut input = BytesMut::new();
     pg::put_parse(&mut input, "own", "INSERT INTO meters VALUES (2)", &[]);
     input.extend_from_slice(b"B\0\0\0\x0c\0\0\0\0\0\0\0\0E\0\0\0\x09\0\0\0\0\0S\0\0\0\x04");
@@ -292,7 +293,7 @@
 const READINGS: usize = 24_000;
 
 fn fill_readings(fleet: &SessionFleet) {
-    let mut client = fleet.direct("billing-1");
+    let mut client = fleet.connect_directly("billing-1");
     client.batch_execute("CREATE TABLE readings (id bigint, note text)").unwrap();
     let note = "n".repeat(1_000);
     for batch in 0..READINGS / 500 {
@@ -304,11 +305,11 @@
 }
 
 #[test]
-fn large_answer_to_a_slow_reader_is_bounded_and_whole() {
+fn large_answer_to_a_slow_reader_is_complete_and_bounded() {
     let fleet = SessionFleet::start(FleetSetup::new(2));
     fill_readings(&fleet);
     for proxy in &fleet.proxies {
-        let mut caller = RawCaller::open(proxy);
+        let mut caller = RawClient::open(proxy);
         let before = proxy.resident_bytes();
         caller.query("SELECT id, note FROM readings");
         let (mut received, mut highest) = (Vec::new(), 0);
@@ -338,7 +339,7 @@
 }
 
 #[test]
-fn backend_lost_in_an_answer_fails_only_that_caller() {
+fn backend_lost_during_an_answer_fails_only_its_client() {
     let fleet = SessionFleet::start(FleetSetup::new(2));
     fill_readings(&fleet);
     let stop = AtomicBool::new(false);
@@ -363,7 +364,7 @@
             for bytes in [100_000, 1_000_003, 9_999_999] {
                 let mark = format!("cut-{number}-{bytes}");
                 fleet.links.limit_marked("billing-1", &mark, Direction::ToCaller, bytes).unwrap();
-                let mut caller = RawCaller::open(proxy);
+                let mut caller = RawClient::open(proxy);
                 caller.query(&format!("SELECT id, note FROM readings /* {mark} */"));
                 let answer = caller.read_until(b'Z');
                 let (kind, body) = &answer[answer.len() - 2];
@@ -390,7 +391,7 @@
 }
 
 #[test]
-fn delayed_and_crossed_answers_reach_their_callers() {
+fn delayed_and_reordered_answers_reach_their_clients() {
     const REQUESTS: usize = 40;
     let fleet = start_small(2);
     let stop = AtomicBool::new(false);
@@ -410,7 +411,7 @@
             .map(|session| {
                 let proxy = &fleet.proxies[session % 2];
                 scope.spawn(move || {
-                    let mut caller = RawCaller::open(proxy);
+                    let mut caller = RawClient::open(proxy);
                     // Up to four requests are on their way at once.
                     for request in 0..REQUESTS + 4 {
                         if request < REQUESTS {
@@ -451,7 +452,7 @@
 }
 
 #[test]
-fn bad_input_gets_an_exact_error_and_disturbs_nobody() {
+fn bad_input_gets_its_error_and_affects_no_other_client() {
     use BadInput::{Messages, Query, Start};
     let login = [("user", "vendor"), ("database", "billing")];
     let with = |name, value| startup(&[login[0], login[1], (name, value)]);
@@ -515,7 +516,7 @@
             let mut count = 0;
             while !stop.load(Ordering::SeqCst) {
                 let insert = format!("INSERT INTO meters VALUES ({count})");
-                assert_eq!(run(&mut client, &insert), CallerAnswer::Done(1));
+                assert_eq!(run(&mut client, &insert), RequestOutcome::Done(1));
                 count += 1;
             }
             count
@@ -523,8 +524,8 @@
         let mut lines = Vec::new();
         for (name, input) in &cases {
             let mut caller = match input {
-                Start(packet) => RawCaller::start(proxy, packet),
-                _ => RawCaller::open(proxy),
+                Start(packet) => RawClient::start(proxy, packet),
+                _ => RawClient::open(proxy),
             };
             match input {
                 Messages(bytes) => caller.stream.write_all(bytes).unwrap(),
