--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -1,8 +1,9 @@
-//! Real daemons in several data centres, with a relay on every link that a test may cut.
+//! Real daemons in several data centres, with a fault proxy on every network link that a test may
+//! cut.
 //!
-//! Each node reaches each database, the platform and each node of another data centre through a relay
-//! of its own. A link is named `NODE/TARGET` by [`link_name`]. Nodes of one data centre reach each other
-//! directly: no test cuts these links.
+//! Each node reaches each database, the platform and each node of another data centre through a link
+//! of the fault proxy, named `NODE/TARGET` by [`link_name`]. Nodes of one data centre connect
+//! directly, because no test cuts these links.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,13 +19,14 @@
 
 use super::{ProxyProcess, start_proxy_with, temporary_file, wait_until};
 
-/// Fleets that run at once in one test process. More of them would only measure the scheduler.
+/// Maximum number of concurrent fleets in one test process. With more, CPU contention decides the
+/// results.
 const CONCURRENT_FLEET_LIMIT: usize = 3;
 
 static RUNNING_FLEETS: Mutex<usize> = Mutex::new(0);
 static FLEET_ENDED: Condvar = Condvar::new();
 
-/// Permission to run a fleet; drop lets the next one start.
+/// Permit to run a fleet, released on drop.
 struct FleetPermit;
 
 impl FleetPermit {
@@ -56,7 +58,7 @@
     pub connections: u32,
     /// Time to open a connection to a database.
     pub open_time: Duration,
-    /// One way, between data centres.
+    /// One-way delay between data centres.
     pub link_delay: Duration,
 }
 
@@ -93,17 +95,17 @@
     format!("dc{centre}")
 }
 
-/// A platform, database groups, relays and daemons; drop stops all of them.
+/// A platform, database groups, a fault proxy and daemons, all stopped on drop.
 pub struct TestFleet {
-    /// `None` while a node is stopped. Declared first, so that the nodes end before their stand-ins.
+    /// `None` while a node is stopped. Declared first, so that the nodes end before the fakes.
     pub nodes: Vec<Option<ProxyProcess>>,
     pub links: FaultProxy,
     pub groups: Vec<DatabaseGroup>,
     pub platform: FakePlatform,
     pub options: FleetOptions,
     peer_addresses: Vec<SocketAddr>,
-    /// Keep the nodes' ports. The relays and the other nodes' settings name the peer ports, so a node
-    /// cannot choose its own.
+    /// Reserve the nodes' ports. The fault proxy and the other nodes' settings name the peer ports,
+    /// so a node cannot choose its own.
     reserved: Vec<PortReservation>,
     dial_files: Vec<PathBuf>,
     _permit: FleetPermit,
@@ -132,7 +134,7 @@
     /// Starts everything but the nodes.
     pub fn prepare(options: FleetOptions) -> Self {
         if !cfg!(debug_assertions) {
-            panic!("daemons without debug assertions use no relays");
+            panic!("daemons without debug assertions ignore the fault proxy's dial file");
         }
         let permit = FleetPermit::wait();
         let platform = FakePlatform::start(0).unwrap();
@@ -204,7 +206,7 @@
         fleet
     }
 
-    /// Returns the configuration with a deadline in ms for all work, which is a value that tests change.
+    /// Returns the configuration with a deadline in ms for all requests, which tests change.
     pub fn configuration(&self, deadline_ms: u64) -> String {
         let clusters: Vec<Value> = self
             .groups
@@ -236,9 +238,9 @@
         json!({ "clusters": clusters, "selectors": selectors }).to_string()
     }
 
-    /// Starts a node, or starts it again with the same peer address.
+    /// Starts a node, or restarts it with the same peer address.
     pub fn start_node(&mut self, node: usize) {
-        let (callers, admin) = (PortReservation::new().unwrap(), PortReservation::new().unwrap());
+        let (clients, admin) = (PortReservation::new().unwrap(), PortReservation::new().unwrap());
         let peers: Vec<String> = self
             .peer_addresses
             .iter()
@@ -249,7 +251,7 @@
         let settings = json!({
             "name": node_name(node),
             "data_centre": centre_name(self.centre(node)),
-            "caller_address": callers.address().unwrap().to_string(),
+            "caller_address": clients.address().unwrap().to_string(),
             "peer_address": self.peer_addresses[node].to_string(),
             "admin_address": admin.address().unwrap().to_string(),
             "platform_address": self.links.address(&link_name(node, "platform")).unwrap().to_string(),
@@ -257,7 +259,7 @@
             "drain_timeout_ms": 2_000,
             "log_level": std::env::var("CICADAWICK_TEST_LOG").unwrap_or("error".to_owned()),
         });
-        self.reserved.extend([callers, admin]);
+        self.reserved.extend([clients, admin]);
         let proxy = start_proxy_with(&settings, Some(&self.dial_files[node]));
         self.platform.put_vm(FakeVm {
             name: node_name(node),
@@ -290,12 +292,12 @@
         (0..self.options.nodes).filter(|node| self.centre(*node) == centre).collect()
     }
 
-    /// Returns the data centre of a database by its place in its group.
+    /// Returns the data centre of a database by its index in its group.
     pub fn centre_of_database(&self, cluster: usize, at: usize) -> usize {
         (cluster + at) % self.options.data_centres
     }
 
-    /// Returns the names of the members that a node takes for live.
+    /// Returns the names of the members that a node considers alive.
     pub fn live_members(&self, node: usize) -> Vec<String> {
         let dump = self.node(node).get("/v1/dump");
         let members = dump["members"].as_array().unwrap();
@@ -303,7 +305,7 @@
         live.map(|member| member["name"].as_str().unwrap().to_owned()).collect()
     }
 
-    /// Tells whether a cluster takes a durable write through a node now.
+    /// Returns whether a cluster currently accepts a durable write through a node.
     pub fn accepts_write(&self, node: usize, cluster: usize) -> bool {
         let client = self
             .node(node)
@@ -314,8 +316,9 @@
         })
     }
 
-    /// Cuts a data centre off the others and, if told, off the platform; or joins it again. Links lose
-    /// their connections when they are joined, because a relay passes no stream with a gap.
+    /// Partitions a data centre from the others and optionally from the platform, or heals the
+    /// partition. Healed links drop their connections, because the fault proxy never relays a stream
+    /// with a gap.
     pub fn set_partitioned(&self, centre: usize, partitioned: bool, with_platform: bool) {
         for (cluster, group) in self.groups.iter().enumerate() {
             for (at, name) in group.names().iter().enumerate() {
@@ -352,7 +355,7 @@
         }
     }
 
-    /// Returns the configuration's revision that is active on a node.
+    /// Returns the revision of the configuration that is active on a node.
     pub fn revision(&self, node: usize) -> u64 {
         self.node(node).get("/v1/rollout")["revision"].as_u64().unwrap_or(0)
     }
@@ -366,7 +369,7 @@
     }
 }
 
-/// Returns the operators' client, which belongs to another crate and is built on first use.
+/// Returns the path of the operators' CLI, which is built on first use because it is another crate.
 pub fn cli_binary() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT
@@ -383,7 +386,7 @@
         .clone()
 }
 
-/// Exit code, stdout and stderr of a run of the operators' client.
+/// Exit code, stdout and stderr of a run of the operators' CLI.
 #[derive(Debug)]
 pub struct CliRun {
     pub code: i32,
@@ -392,7 +395,7 @@
     pub elapsed: Duration,
 }
 
-/// Runs the operators' client against a platform.
+/// Runs the operators' CLI against a platform.
 pub fn run_cli(platform: SocketAddr, arguments: &[&str]) -> CliRun {
     let started = Instant::now();
     let output = Command::new(cli_binary())
--- a/crates/daemon/tests/common/history.rs
+++ b/crates/daemon/tests/common/history.rs
@@ -1,4 +1,4 @@
-//! Callers that write numbered rows and record what they were told, and checks of the result.
+//! Clients that write numbered rows and record the outcomes, and checks of the resulting history.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use super::code;
 use super::fleet::{TestFleet, cluster_name};
 
-/// Time after the opening of a term for which an acknowledgement from before it may still be on its
-/// way: a report's answer takes at most 1 s, the rest is scheduling.
+/// Time after the opening of a term in which an acknowledgement from the previous term may still
+/// arrive: a report's answer takes at most 1 s, and the rest allows for scheduling.
 const IN_FLIGHT_GRACE: Duration = Duration::from_millis(1_500);
 
 const WRITE_INTERVAL: Duration = Duration::from_millis(3);
 const RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What a caller was told about a write.
+/// Outcome of a write as reported to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     Acknowledged,
@@ -43,7 +43,7 @@
 
 static NEXT_ID: AtomicI64 = AtomicI64::new(1);
 
-/// A caller that inserts rows with ever new numbers; drop stops it.
+/// A client that inserts rows with increasing numbers until it is dropped.
 pub struct RowWriter {
     pub name: String,
     records: Arc<Mutex<Vec<WriteRecord>>>,
@@ -52,7 +52,7 @@
 }
 
 impl RowWriter {
-    /// Starts a writer to a table at an address; through a proxy or directly at a database.
+    /// Starts a writer to a table through `address`, which is that of a proxy or of a database.
     pub fn start(
         name: &str,
         address: SocketAddr,
@@ -110,7 +110,7 @@
         RowWriter { name: name.to_owned(), records, stop, thread: Some(thread) }
     }
 
-    /// Tells whether a write that was sent after `since` was acknowledged.
+    /// Returns whether a write that was sent after `since` has been acknowledged.
     pub fn acknowledged_since(&self, since: Instant) -> bool {
         let records = self.records.lock().unwrap();
         records
@@ -124,7 +124,7 @@
         self.records.lock().unwrap().clone()
     }
 
-    /// Lets the write in progress end and returns all records.
+    /// Waits for the write in progress and returns all records.
     pub fn finish(mut self) -> Vec<WriteRecord> {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.take().unwrap().join().unwrap();
@@ -134,17 +134,17 @@
 
 impl Drop for RowWriter {
     fn drop(&mut self) {
-        // A failed test does not wait: the write in progress may hang at a paused node.
+        // Does not join the thread: in a failed test the write in progress may hang at a paused node.
         self.stop.store(true, Ordering::SeqCst);
     }
 }
 
-/// A durable and a plain writer through each node, to the table `rows` of one cluster.
+/// Starts a durable and a plain writer through each node, to the table `rows` of one cluster.
 pub fn start_writers(fleet: &TestFleet, cluster: usize) -> Vec<RowWriter> {
     start_writers_at(fleet, cluster, 0..fleet.options.nodes)
 }
 
-/// A durable and a plain writer through each of some nodes, to the table `rows` of one cluster.
+/// Starts a durable and a plain writer through each of `nodes`, to the table `rows` of one cluster.
 pub fn start_writers_at(
     fleet: &TestFleet,
     cluster: usize,
@@ -164,12 +164,12 @@
     writers
 }
 
-/// Terms of one cluster as its databases had them.
+/// The terms of one cluster as observed at its databases.
 #[derive(Clone, Debug, Default)]
 pub struct TermLog {
-    /// When a majority was first seen in a term of which one of them is the primary.
+    /// When a majority of databases was first seen in a term that has a primary.
     pub opened: BTreeMap<u64, Instant>,
-    /// Databases that were primary in a term.
+    /// Databases that were primary in each term.
     pub leaders: BTreeMap<u64, BTreeSet<String>>,
 }
 
@@ -193,14 +193,14 @@
     }
 }
 
-/// Watches a group's reports without a connection; drop stops it.
+/// Polls a group's reports without a connection until it is dropped.
 pub struct TermMonitor {
     log: Arc<Mutex<TermLog>>,
     stop: Arc<AtomicBool>,
 }
 
 impl TermMonitor {
-    /// Starts to watch. The group must outlive the monitor's use; the scope of a test sees to it.
+    /// Starts to poll. The test's thread scope ensures that the group outlives the monitor.
     pub fn start<'scope>(
         scope: &'scope std::thread::Scope<'scope, '_>,
         group: &'scope DatabaseGroup,
@@ -236,7 +236,7 @@
     }
 }
 
-/// Reads the numbers of a table in the final log.
+/// Returns the row numbers of a table in the final log.
 pub fn final_rows(group: &DatabaseGroup, table: &str) -> Vec<i64> {
     let content = group.table(table).unwrap();
     content.rows.iter().map(|row| row[0].as_ref().unwrap().parse().unwrap()).collect()
@@ -249,15 +249,16 @@
     pub acknowledged: usize,
     pub not_run: usize,
     pub unknown: usize,
-    /// Writes without `durable` that were acknowledged in time and lost with their primary.
+    /// Writes that are not durable, were acknowledged in time and were lost with their primary.
     pub lost: usize,
 }
 
-/// Compares what callers were told with the final log.
+/// Compares the outcomes that clients were told with the final log.
 ///
-/// A write that is not durable may be lost if it was acknowledged before the next term opened. It is a
-/// violation if it was sent after the opening of the last term, or acknowledged later than an answer
-/// can be on its way. With several terms the last one counts for all, which is the lenient reading.
+/// A write that is not durable may be lost if it was acknowledged before the next term opened. The
+/// loss is a violation if the write was sent after the last term opened, or acknowledged more than
+/// [`IN_FLIGHT_GRACE`] after that. With several terms the last one applies to all writes, which is
+/// the lenient interpretation.
 pub fn check_history(records: &[WriteRecord], terms: &TermLog, rows: &[i64]) -> HistoryCheck {
     let mut check = HistoryCheck::default();
     let mut counts: BTreeMap<i64, usize> = BTreeMap::new();
@@ -311,7 +312,7 @@
     check
 }
 
-/// Returns the longest time without an acknowledgement that ends after `fault`.
+/// Returns the longest interval between acknowledgements that ends after `fault`.
 pub fn write_gap(records: &[WriteRecord], fault: Instant) -> Duration {
     let mut ends: Vec<Instant> = records
         .iter()
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and real `cicadawickd` processes for the functional tests.
+//! Fakes and real `cicadawickd` processes for the functional tests.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -17,7 +17,7 @@
 
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls until a condition holds.
+/// Polls until a condition holds; fails after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
@@ -26,7 +26,7 @@
     }
 }
 
-/// A running `cicadawickd`; drop kills it.
+/// A running `cicadawickd`, killed on drop.
 pub struct ProxyProcess {
     pub caller_address: SocketAddr,
     pub peer_address: SocketAddr,
@@ -155,7 +155,7 @@
     start_proxy_with(settings, None)
 }
 
-/// Starts a daemon whose connections go through the relays that `dial` names.
+/// Starts a daemon that connects through the fault proxy's links listed in the file `dial`.
 pub fn start_proxy_with(settings: &serde_json::Value, dial: Option<&Path>) -> ProxyProcess {
     let name = settings["name"].as_str().unwrap();
     let path = temporary_file(name);
@@ -165,7 +165,7 @@
     command.arg("--settings").arg(&path).arg("--ready-file").arg(&ready);
     match dial {
         Some(dial) => command.env("CICADAWICK_TEST_DIAL", dial),
-        // Ports chosen beforehand would be taken by tests that run at the same time.
+        // Concurrent tests could take ports that are chosen in advance.
         None => command.arg("--free-ports"),
     };
     let mut child = command.spawn().unwrap();
@@ -190,7 +190,7 @@
     }
 }
 
-/// Returns a name that no other test process uses.
+/// Returns the path of a temporary file that no other test uses.
 pub fn temporary_file(name: &str) -> PathBuf {
     use std::sync::atomic::{AtomicU32, Ordering};
     static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -198,7 +198,7 @@
     std::env::temp_dir().join(format!("cicadawickd-{}-{number}-{name}.jsonc", std::process::id()))
 }
 
-/// Runs the binary to its end; returns exit code, stdout and stderr.
+/// Runs the binary until it exits; returns exit code, stdout and stderr.
 pub fn run_binary(arguments: &[&str]) -> (i32, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cicadawickd"))
         .args(arguments)
