--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -1,10 +1,10 @@
-//! Changes of the primary with real processes, while callers write through every proxy.
+//! Failover with real processes, while clients write through every proxy.
 //!
-//! Every test checks the whole history afterwards: each acknowledged durable write is in the final log
-//! exactly once, no write was acknowledged by a replaced primary, what was refused as "not run" did not
-//! run, and a term had one leader. The last test shows that the check finds a violation when callers
-//! go around the proxies. The state machines' own switches, which break one rule at a time, are in
-//! crates/failover/tests/model.rs.
+//! Every test checks the complete history afterwards: each acknowledged durable write is in the final
+//! log exactly once, no write was acknowledged by a replaced primary, no write reported as not run
+//! has run, and each term had one leader. The last test shows that the check finds violations when
+//! clients bypass the proxies. Switches that break one rule of the state machines at a time are
+//! tested in crates/failover/tests/model.rs.
 
 #![allow(clippy::unwrap_used)]
 
@@ -96,7 +96,7 @@
         self.fleet.groups[0].primary().unwrap()
     }
 
-    /// The platform's record of the leader, once there is one.
+    /// Returns the platform's record of the cluster's leader, once there is one.
     fn record(&self) -> Option<serde_json::Value> {
         let key = format!("cicadawick/clusters/{}", cluster_name(0));
         let (bytes, _) = self.fleet.platform.value(&key)?;
@@ -104,10 +104,10 @@
     }
 }
 
-/// What one failover took.
+/// Measurements of one failover.
 struct FailoverFigures {
     gap: Duration,
-    /// Reads and writes of the platform's records.
+    /// Reads and writes of cluster records at the platform.
     record_calls: u64,
     platform_calls: u64,
 }
@@ -189,7 +189,7 @@
     })
 }
 
-/// The fleet of section 1.4 of the design page for the first user.
+/// The first user's fleet, as in section 1.4 of the design page.
 fn current_fleet() -> FleetOptions {
     FleetOptions {
         data_centres: 4,
@@ -207,7 +207,7 @@
     }
 }
 
-/// Prints median and worst of 20 failovers at the sizes of both users. Run by hand:
+/// Prints median and worst case of 20 failovers at the sizes of both users. Run manually:
 /// `cargo test -p daemon --test failover -- --ignored --nocapture measure_write_outage`.
 #[test]
 #[ignore = "a measurement of some minutes, run by hand"]
@@ -263,7 +263,7 @@
         fleet.groups[0].freeze(&old).unwrap();
         let opened = run.wait_for_term_above(term);
         run.wait_for_writes(opened);
-        // It still believes that it leads the old term.
+        // The frozen primary still believes that it leads the old term.
         assert_eq!(fleet.groups[0].report(&old).unwrap().term, term);
         fleet.groups[0].thaw(&old).unwrap();
         wait_until("the old primary follows", || fleet.groups[0].report(&old).unwrap().term > term);
@@ -284,13 +284,13 @@
             inside.iter().any(|node| writer.name.starts_with(&format!("{node}-")))
         };
         for writer in run.writers.iter().filter(|writer| !is_inside(writer)) {
-            wait_until("the majority's side writes", || writer.acknowledged_since(opened));
+            wait_until("the majority's side accepts writes", || writer.acknowledged_since(opened));
         }
         assert_ne!(run.primary(), old);
         assert_eq!(fleet.groups[0].report(&old).unwrap().term, term, "the old primary was reached");
-        // The callers inside are answered, one way or the other, by their deadline.
+        // Clients inside the partition get an answer by their deadline, but no acknowledgement.
         for writer in run.writers.iter().filter(|writer| is_inside(writer)) {
-            wait_until("a caller inside is answered", || {
+            wait_until("a client inside is answered", || {
                 writer.records().iter().any(|record| record.ended > opened)
             });
             assert!(!writer.acknowledged_since(cut_at), "a write inside was acknowledged");
@@ -304,9 +304,9 @@
 #[derive(Clone, Copy, Debug)]
 enum OutageStart {
     BeforeTheFault,
-    /// The record that starts the promotion is written.
+    /// After the record that starts the promotion is written.
     DuringThePromotion,
-    /// The new term is open, and the record that says so is not written yet.
+    /// After the new term opens, before the record that says so is written.
     AfterThePromotion,
 }
 
@@ -314,7 +314,7 @@
 fn promotion_completes_without_the_platform() {
     let fleet = TestFleet::start(FleetOptions::default());
     // For 10 s after an outage a promotion does not wait for the platform, so the case that needs the
-    // first record comes first.
+    // promotion's first record runs first.
     let cases = [
         (OutageStart::DuringThePromotion, OutageMode::Refuse),
         (OutageStart::AfterThePromotion, OutageMode::Hang),
@@ -324,7 +324,7 @@
         for (start, mode) in cases {
             let (old, term) = (run.primary(), run.monitor.last_term());
             let fail = || fleet.platform.set_outage(mode).unwrap();
-            // Answers take a while, so that the outage begins before the next step.
+            // Slow answers ensure that the outage begins before the next step.
             fleet.platform.set_slow(Duration::from_millis(400));
             if let OutageStart::BeforeTheFault = start {
                 fail();
@@ -349,7 +349,7 @@
             assert!(!names_leader(), "the record was written during the outage: {start:?}");
             fleet.platform.set_outage(OutageMode::None).unwrap();
             fleet.groups[0].restart(&old).unwrap();
-            // The record is written later.
+            // The record is written after the outage.
             wait_until("the record names the leader", names_leader);
             assert_eq!(run.record().unwrap()["term"], term);
             wait_until("the old primary follows", || {
@@ -363,7 +363,7 @@
 #[test]
 fn supervisor_resumed_after_a_promotion_causes_no_violation() {
     let fleet = TestFleet::start(FleetOptions::default());
-    // The supervisor waits for the answer to its record while it is paused.
+    // The supervisor is paused while it waits for the answer to its record.
     fleet.platform.set_slow(Duration::from_millis(400));
     let (_, gap) = run_scenario(&fleet, |run| {
         let (old, term) = (run.primary(), run.monitor.last_term());
@@ -427,8 +427,8 @@
     assert!(gap < OUTAGE_LIMIT, "{gap:?}");
 }
 
-/// Guards against a check that notices nothing: writers that go around the proxies get
-/// acknowledgements from the replaced primary.
+/// Guards against a check that finds nothing: writers that bypass the proxies get acknowledgements
+/// from the replaced primary.
 #[test]
 fn check_finds_acknowledgements_of_a_replaced_primary() {
     let fleet = TestFleet::start(FleetOptions::default());
