--- a/crates/daemon/tests/ownership.rs
+++ b/crates/daemon/tests/ownership.rs
@@ -1,9 +1,9 @@
 //! Pool ownership under failure with real processes: a killed owner, two owners at once, a changing
-//! membership and a backend server that leaves, each under load.
+//! membership and a leaving backend server, each under load.
 //!
-//! Every caller writes and reads numbered rows. Afterwards each acknowledged write is in the log
-//! exactly once, what was refused as "not run" is absent, each answer had its request's number, the
-//! databases' limits held, and no connection or slot is left behind.
+//! Every client writes and reads numbered rows. Afterwards each acknowledged write is in the log
+//! exactly once, writes reported as not run are absent, each answer had its request's number, the
+//! databases' limits were respected, and no connection or slot is still held.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,14 +22,14 @@
 use postgres::NoTls;
 use serde_json::Value;
 
-/// Callers of each node. Together they keep more than the slots of a database busy.
+/// Together, the clients of all nodes need more slots than a database has.
 const CLIENTS_PER_NODE: usize = 4;
 
-/// What a caller saw.
+/// Outcomes that one client saw.
 #[derive(Debug, Default)]
 struct ClientLog {
     writes: Vec<WriteRecord>,
-    /// Answers that were not those of their request.
+    /// Answers that belong to another request.
     mismatched: Vec<String>,
     /// SQLSTATE, or `closed`, of every failed write and of every failed read.
     write_errors: Vec<String>,
@@ -37,7 +37,7 @@
     reads: usize,
 }
 
-/// A caller that writes a row with a new number and reads it back; drop stops it.
+/// A client that writes rows with new numbers and reads each back, until it is dropped.
 struct NumberedClient {
     node: usize,
     log: Arc<Mutex<ClientLog>>,
@@ -78,7 +78,7 @@
         recent.any(|record| record.outcome == WriteOutcome::Acknowledged)
     }
 
-    /// Lets the request in progress end.
+    /// Waits for the request in progress and returns the log.
     fn finish(mut self) -> ClientLog {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.take().unwrap().join().unwrap();
@@ -128,11 +128,11 @@
 }
 
 fn start_clients(fleet: &TestFleet, nodes: &[usize]) -> Vec<NumberedClient> {
-    let callers = nodes.iter().flat_map(|node| {
+    let clients = nodes.iter().flat_map(|node| {
         let address = fleet.node(*node).caller_address;
         (0..CLIENTS_PER_NODE).map(move |_| NumberedClient::start(*node, address))
     });
-    callers.collect()
+    clients.collect()
 }
 
 fn create_table(fleet: &TestFleet) {
@@ -140,13 +140,13 @@
     setup.unwrap().batch_execute("CREATE TABLE rows (id bigint)").unwrap();
 }
 
-fn wait_for_writes(callers: &[NumberedClient], since: Instant) {
-    for caller in callers {
-        wait_until("every caller's writes are acknowledged", || caller.acknowledged_since(since));
+fn wait_for_writes(clients: &[NumberedClient], since: Instant) {
+    for client in clients {
+        wait_until("every client's writes are acknowledged", || client.acknowledged_since(since));
     }
 }
 
-/// Returns the node that owns a database, as a node sees it.
+/// Returns the node that owns a database according to node `asked`.
 fn owner_of(fleet: &TestFleet, asked: usize, database: &str) -> usize {
     let path = format!("/v1/explain?user=vendor&cluster={}", cluster_name(0));
     let answer = fleet.node(asked).get(&path);
@@ -154,23 +154,24 @@
     (0..fleet.options.nodes).find(|node| node_name(*node) == owner).unwrap()
 }
 
-/// Ends the callers, checks what they saw, and that nothing is left behind. Callers of the nodes in
-/// `ended` may have seen their session end. Returns the numbers of writes with an unknown outcome that ran.
-fn check_results(mut fleet: TestFleet, callers: Vec<NumberedClient>, ended: &[usize]) -> Vec<i64> {
+/// Stops the clients, checks their outcomes and that no resource is still held. Sessions of clients
+/// of the nodes in `ended` may have ended. Returns the numbers of writes with an unknown outcome that
+/// ran.
+fn check_results(mut fleet: TestFleet, clients: Vec<NumberedClient>, ended: &[usize]) -> Vec<i64> {
     let mut records = Vec::new();
     let mut reads = 0;
     let mut errors = std::collections::BTreeMap::<String, usize>::new();
-    for caller in callers {
-        let node = caller.node;
-        let log = caller.finish();
+    for client in clients {
+        let node = client.node;
+        let log = client.finish();
         assert_eq!(log.mismatched, Vec::<String>::new(), "answers of other requests");
-        // A write is refused or unknown. A read that began may also have broken off, which 08006 says.
+        // A failed write is refused or of unknown outcome. A started read may fail with 08006.
         let writes = log.write_errors.into_iter().map(|code| (code, "08007"));
         let reads_failed = log.read_errors.into_iter().map(|code| (code, "08006"));
-        for (code, begun) in writes.chain(reads_failed) {
+        for (code, started) in writes.chain(reads_failed) {
             let session_ended = ended.contains(&node) && ["closed", "57P01"].contains(&&*code);
-            let told = code.starts_with("WK") || code == begun;
-            assert!(told || session_ended, "a caller of node {node} got {code}");
+            let told = code.starts_with("WK") || code == started;
+            assert!(told || session_ended, "a client of node {node} got {code}");
             *errors.entry(code).or_default() += 1;
         }
         reads += log.reads;
@@ -188,7 +189,7 @@
     assert_eq!(check.violations, Vec::<String>::new());
     let running: Vec<usize> =
         (0..fleet.options.nodes).filter(|node| fleet.nodes[*node].is_some()).collect();
-    wait_until("no work, pin or slot is left at any node", || {
+    wait_until("no node has a request, pinned connection or slot in use", || {
         running.iter().all(|node| {
             let dump = fleet.node(*node).get("/v1/dump");
             let databases = dump["databases"].as_object().unwrap();
@@ -207,7 +208,7 @@
     }
     let group = &fleet.groups[0];
     for name in group.names() {
-        wait_until("no connection or slot is left at the database", || {
+        wait_until("no connection or slot of the database is in use", || {
             let counters = group.counters(name).unwrap();
             (counters.connections, counters.slots_busy, counters.waiting) == (0, 0, 0)
         });
@@ -219,8 +220,8 @@
     unknown.into_iter().filter(|id| written.contains(id)).collect()
 }
 
-// Guards against requests that are lost, doubled or answered with another's answer when their owner
-// dies, and against connections of the dead owner that keep slots.
+// Guards against requests that are lost, run twice or get another request's answer when their owner
+// is killed, and against connections of the killed owner that keep slots.
 #[test]
 fn killed_owner_is_replaced_under_load() {
     let mut fleet =
@@ -228,13 +229,13 @@
     create_table(&fleet);
     let primary = fleet.groups[0].primary().unwrap();
     let owner = owner_of(&fleet, 0, &primary);
-    let callers = start_clients(&fleet, &[0, 1, 2]);
-    wait_for_writes(&callers, Instant::now());
+    let clients = start_clients(&fleet, &[0, 1, 2]);
+    wait_for_writes(&clients, Instant::now());
     // Drop kills the process.
     fleet.nodes[owner] = None;
     let killed = Instant::now();
     let (dead, alive): (Vec<_>, Vec<_>) =
-        callers.into_iter().partition(|caller| caller.node == owner);
+        clients.into_iter().partition(|client| client.node == owner);
     wait_for_writes(&alive, killed);
     println!("writes through all others {:?} after the kill", killed.elapsed());
     let asked = (0..3).find(|node| *node != owner).unwrap();
@@ -242,16 +243,16 @@
     check_results(fleet, alive.into_iter().chain(dead).collect(), &[owner]);
 }
 
-// Guards against harm done by two owners of one database, which a partition between nodes that both
-// reach the databases brings about.
+// Guards against exceeded limits and wrong answers while a database has two owners, which happens
+// when a partition separates nodes that all reach the databases.
 #[test]
 fn two_owners_at_once_respect_limits_and_answer_correctly() {
     let fleet =
         TestFleet::start(FleetOptions { data_centres: 2, nodes: 4, ..FleetOptions::default() });
     create_table(&fleet);
     let primary = fleet.groups[0].primary().unwrap();
-    let callers = start_clients(&fleet, &[0, 1, 2, 3]);
-    wait_for_writes(&callers, Instant::now());
+    let clients = start_clients(&fleet, &[0, 1, 2, 3]);
+    wait_for_writes(&clients, Instant::now());
     let across = |cut: bool| {
         for (node, other) in (0..4).flat_map(|node| (0..4).map(move |other| (node, other))) {
             if fleet.centre(node) != fleet.centre(other) {
@@ -267,42 +268,43 @@
     assert!(one_owner());
     across(true);
     wait_until("each side has an owner", || !one_owner());
-    wait_for_writes(&callers, Instant::now());
+    wait_for_writes(&clients, Instant::now());
     across(false);
     wait_until("one owner is left", one_owner);
-    wait_for_writes(&callers, Instant::now());
-    check_results(fleet, callers, &[]);
+    wait_for_writes(&clients, Instant::now());
+    check_results(fleet, clients, &[]);
 }
 
-// Guards against requests that are interrupted or mixed when owners move because nodes drain and start.
+// Guards against requests that are interrupted or get another's answer when ownership moves because
+// nodes drain and start.
 #[test]
 fn changing_membership_loses_no_request() {
     let mut fleet =
         TestFleet::start(FleetOptions { data_centres: 1, nodes: 4, ..FleetOptions::default() });
     create_table(&fleet);
-    let mut callers = start_clients(&fleet, &[0, 1, 2, 3]);
-    wait_for_writes(&callers, Instant::now());
+    let mut clients = start_clients(&fleet, &[0, 1, 2, 3]);
+    wait_for_writes(&clients, Instant::now());
     let mut finished = Vec::new();
     for node in [3, 2] {
         fleet.stop_node(node);
         let (gone, left): (Vec<_>, Vec<_>) =
-            callers.into_iter().partition(|caller| caller.node == node);
-        (finished, callers) = (finished.into_iter().chain(gone).collect(), left);
-        wait_for_writes(&callers, Instant::now());
+            clients.into_iter().partition(|client| client.node == node);
+        (finished, clients) = (finished.into_iter().chain(gone).collect(), left);
+        wait_for_writes(&clients, Instant::now());
     }
     for node in [2, 3] {
         fleet.start_node(node);
-        callers.extend(start_clients(&fleet, &[node]));
-        wait_for_writes(&callers, Instant::now());
+        clients.extend(start_clients(&fleet, &[node]));
+        wait_for_writes(&clients, Instant::now());
     }
-    callers.extend(finished);
-    // A drained node answers what it has begun: sessions end between requests.
-    let interrupted = check_results(fleet, callers, &[2, 3]);
+    clients.extend(finished);
+    // A draining node completes started requests, so sessions end between requests.
+    let interrupted = check_results(fleet, clients, &[2, 3]);
     assert_eq!(interrupted, Vec::<i64>::new(), "writes that ran and were not answered");
 }
 
-// Guards against an owner that ends its process with the answer of a forwarded write on its way: the peer
-// acknowledges an answer's parts before it is complete, which takes as long as the link.
+// Guards against an owner that exits before the answer of a forwarded write has reached the peer. The
+// peer acknowledges an answer's parts before it is complete, which takes a round trip on the link.
 #[test]
 fn a_stopping_owner_completes_the_answers_of_forwarded_writes() {
     const ONE_WAY: Duration = Duration::from_millis(150);
@@ -317,7 +319,7 @@
     let write = std::thread::spawn(move || {
         client.batch_execute("INSERT INTO rows VALUES (2)").map_err(|error| code(&error))
     });
-    // The write has run at the owner, and its answer is on the way to the peer.
+    // Once the write has run at the owner, its answer is in flight to the peer.
     wait_until("the write runs", || final_rows(&fleet.groups[0], "rows").contains(&2));
     fleet.stop_node(owner);
     assert_eq!(write.join().unwrap(), Ok(()));
@@ -345,7 +347,7 @@
     });
 }
 
-/// Statements that all nodes together have granted a slot of a database.
+/// Returns the number of statements that all nodes together have granted a slot of a database.
 fn granted(fleet: &TestFleet, database: &str) -> u64 {
     let ranks = (0..fleet.options.nodes).filter_map(|node| {
         let dump = fleet.node(node).get("/v1/dump");
@@ -362,7 +364,7 @@
     fleet
 }
 
-/// Reads that accept an age, through each node; drop ends them.
+/// Reads that accept old data, through each node, until dropped.
 struct CatalogueReaders(Arc<AtomicBool>, Vec<JoinHandle<()>>);
 
 impl CatalogueReaders {
@@ -384,7 +386,7 @@
         CatalogueReaders(stop, threads)
     }
 
-    /// Fails if a read failed.
+    /// Stops the readers; panics if a read failed.
     fn finish(mut self) {
         self.0.store(true, Ordering::SeqCst);
         for thread in self.1.drain(..) {
@@ -399,15 +401,15 @@
     }
 }
 
-// Guards against new work on backend servers that leave, one of them the primary, and against a cluster
-// that takes no writes because of it.
+// Guards against new statements on leaving backend servers, one of them the primary, and against a
+// cluster that accepts no writes because its primary leaves.
 #[test]
 fn leaving_backend_server_gets_no_new_statement() {
     let fleet = leaving_fleet();
     apply_leaving(&fleet, &[]);
     let primary = fleet.groups[0].primary().unwrap();
     let replica = fleet.groups[0].names().iter().find(|name| **name != primary).unwrap().clone();
-    let callers = start_clients(&fleet, &[0, 1]);
+    let clients = start_clients(&fleet, &[0, 1]);
     let readers = CatalogueReaders::start(&fleet);
     let start = granted(&fleet, &replica);
     wait_until("the replica serves reads", || granted(&fleet, &replica) > start + 50);
@@ -416,12 +418,12 @@
     let then = [&primary, &replica].map(|name| granted(&fleet, name));
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!([&primary, &replica].map(|name| granted(&fleet, name)), then, "new statements");
-    wait_for_writes(&callers, Instant::now());
+    wait_for_writes(&clients, Instant::now());
     readers.finish();
-    check_results(fleet, callers, &[]);
+    check_results(fleet, clients, &[]);
 }
 
-// Guards against an open transaction that is cut off because its backend server, the primary, leaves.
+// Guards against a transaction that is aborted because its backend server, the primary, is leaving.
 #[test]
 fn open_transaction_of_a_leaving_primary_finishes() {
     let fleet = leaving_fleet();
