--- a/crates/daemon/tests/accounting.rs
+++ b/crates/daemon/tests/accounting.rs
@@ -1,4 +1,4 @@
-//! Who is behind load, asked with the real operators' client of real daemons.
+//! Accounting of load by caller, queried with the operators' CLI from real daemons.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +9,7 @@
 use postgres::{Client, NoTls};
 use serde_json::{Value, json};
 
-/// Runs the operators' client with `--json`.
+/// Runs the operators' CLI with `--json`.
 fn ask(fleet: &TestFleet, arguments: &[&str]) -> Value {
     let arguments: Vec<&str> = ["--json"].iter().chain(arguments).copied().collect();
     let run = run_cli(fleet.platform.address(), &arguments);
@@ -17,7 +17,7 @@
     serde_json::from_str(&run.out).unwrap()
 }
 
-/// Applies a configuration in which the caller `meters` has a label `kind`.
+/// Applies a configuration that gives the caller `meters` a label `kind`.
 fn apply(fleet: &TestFleet, kind: &str) {
     let mut document: Value = serde_json::from_str(&fleet.configuration(4_000)).unwrap();
     document["callers"] = json!([
@@ -48,8 +48,8 @@
     config.dbname(&cluster_name(0)).connect(NoTls).unwrap()
 }
 
-// Guards against load that no operator can trace to a caller, an explanation that does not fit the
-// service, and label changes that open sessions do not get.
+// Guards against load that operators cannot trace to a caller, an explanation that differs from how
+// requests are served, and label changes that do not reach open sessions.
 #[test]
 fn operators_find_the_caller_that_causes_load() {
     let fleet =
@@ -85,7 +85,7 @@
         assert!(first["count"].as_u64().unwrap() >= least, "{measure}: {top}");
     }
 
-    // One table for each measure, in one run.
+    // `--measure all` prints one table for each measure.
     let tables = ask(&fleet, &["top", "--node", &node, "--all", "--measure", "all"]);
     let tables = tables.as_array().unwrap();
     assert_eq!(tables.len(), 6, "{tables:?}");
@@ -110,7 +110,7 @@
     assert_eq!(after["selector"], "readings");
     assert_eq!(after["rank"], "batch");
     assert_eq!(after["max_age_ms"], 30_000);
-    // The sessions were open before the change.
+    // These sessions were opened before the change.
     for client in &mut meters {
         client.batch_execute("SELECT 1").unwrap();
     }
--- a/crates/daemon/tests/operators.rs
+++ b/crates/daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface, and a daemon that runs inside the caller's process.
+//! The operators' HTTP interface, and a daemon that runs on a thread of the test process.
 
 #![allow(clippy::unwrap_used)]
 
@@ -63,7 +63,7 @@
             caller_address: address,
             peer_address: address,
             admin_address: address,
-            // Nothing listens there: a node starts without the platform.
+            // Nothing listens at this address: a node starts without the platform.
             platform_address: "127.0.0.1:1".parse().unwrap(),
             peers: Vec::new(),
             metrics_address: Some("127.0.0.1:9".parse().unwrap()),
