--- a/crates/daemon/tests/payments.rs
+++ b/crates/daemon/tests/payments.rs
@@ -1,4 +1,4 @@
-//! Purchases run at most once, and an acknowledged one is not lost.
+//! Purchases run at most once, and an acknowledged purchase is never lost.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,10 +17,10 @@
 
 const WORKERS: usize = 4;
 
-/// Longer than any conversation of one purchase.
+/// Byte limit beyond the length of any purchase's conversation with the database.
 const NO_LIMIT: u64 = 1 << 40;
 
-/// A caller's connection that is opened again when it was closed.
+/// A client that reconnects before a request if its connection is closed.
 struct ReconnectingClient<'a> {
     proxy: &'a ProxyProcess,
     client: Client,
@@ -39,18 +39,19 @@
     }
 }
 
-/// The statement of one purchase. Numbers have the same width, so all conversations are equally long.
+/// Returns the statement of a purchase. All numbers have the same width, so that all conversations
+/// have the same length.
 fn purchase(number: usize, with_key: bool) -> String {
     let key = if with_key { format!("/*request_key='k{number:06}'*/ ") } else { String::new() };
     format!("{key}INSERT INTO purchases VALUES ({number}, 'meter-{number:06}')")
 }
 
-/// Text that the first piece of the conversation about a purchase holds.
+/// Returns a text that the first part of a purchase's conversation contains.
 fn marker(number: usize, with_key: bool) -> String {
     if with_key { format!("k{number:06}") } else { format!("meter-{number:06}") }
 }
 
-/// Counts the rows of each purchase.
+/// Returns the number of rows of each purchase.
 fn purchases(fleet: &SessionFleet) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
     for row in fleet.group.table("purchases").unwrap().rows {
@@ -60,21 +61,21 @@
     counts
 }
 
-/// Ends the backend connection after every byte of a purchase's conversation in turn.
+/// Cuts the backend connection after each byte of a purchase's conversation in turn.
 fn cut_every_byte(with_key: bool) {
     let mut setup = FleetSetup::new(2);
     setup.group.open_time = Duration::ZERO;
     let fleet = SessionFleet::start(setup);
-    let mut caller = fleet.proxies[0].connect();
-    caller.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
-    // The first purchase with a key makes the table of keys.
-    assert_eq!(run(&mut caller, &purchase(100_000, with_key)), RequestOutcome::Done(1));
+    let mut setup_client = fleet.proxies[0].connect();
+    setup_client.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
+    // The first purchase with a key creates the table of keys.
+    assert_eq!(run(&mut setup_client, &purchase(100_000, with_key)), RequestOutcome::Done(1));
     let mut boundaries = Vec::new();
     for direction in [Direction::ToUpstream, Direction::ToCaller] {
         let number = 100_001 + boundaries.len();
         let mark = marker(number, with_key);
         fleet.links.limit_marked("billing-1", &mark, direction, NO_LIMIT).unwrap();
-        assert_eq!(run(&mut caller, &purchase(number, with_key)), RequestOutcome::Done(1));
+        assert_eq!(run(&mut setup_client, &purchase(number, with_key)), RequestOutcome::Done(1));
         let length = fleet.links.clear_marked("billing-1", &mark).unwrap()[0];
         boundaries.extend((0..=length).map(|bytes| (direction, bytes)));
     }
@@ -85,7 +86,7 @@
     std::thread::scope(|scope| {
         for _ in 0..WORKERS {
             scope.spawn(|| {
-                let mut callers: Vec<ReconnectingClient> =
+                let mut clients: Vec<ReconnectingClient> =
                     fleet.proxies.iter().map(ReconnectingClient::new).collect();
                 let mut checker = fleet.connect_directly("billing-1");
                 loop {
@@ -94,7 +95,7 @@
                     let number = 200_000 + at;
                     let (sql, mark) = (purchase(number, with_key), marker(number, with_key));
                     fleet.links.limit_marked("billing-1", &mark, direction, bytes).unwrap();
-                    let answer = callers[at % 2].run(&sql);
+                    let answer = clients[at % 2].run(&sql);
                     let unused = fleet.links.clear_marked("billing-1", &mark).unwrap();
                     assert!(unused.is_empty(), "{direction:?} {bytes}: the cut was not reached");
                     let query = format!("SELECT id FROM purchases WHERE id = {number}");
@@ -108,7 +109,7 @@
                         }
                     }
                     if with_key {
-                        let retry = callers[(at + 1) % 2].run(&sql);
+                        let retry = clients[(at + 1) % 2].run(&sql);
                         assert_eq!(retry, RequestOutcome::Done(1), "{context}: retry");
                         let rows = checker.query(&query, &[]).unwrap().len();
                         assert_eq!(rows, 1, "{context}: after the retry");
@@ -119,7 +120,7 @@
         }
     });
     let answers = answers.into_inner().unwrap();
-    // Statements of cut connections that were still running have ended by now.
+    // Allows statements of cut connections that are still running to end.
     std::thread::sleep(Duration::from_millis(200));
     let counts = purchases(&fleet);
     let mut tally: BTreeMap<String, usize> = BTreeMap::new();
@@ -155,7 +156,7 @@
     cut_every_byte(false);
 }
 
-/// Retries a statement with a key until it is acknowledged.
+/// Retries a statement with a key until it is acknowledged; returns its row count.
 fn retry_until_done(proxies: &[&ProxyProcess], sql: &str) -> u64 {
     let mut outcome = 0;
     let mut turn = 0;
@@ -180,23 +181,23 @@
     outcome
 }
 
-/// Starts many purchases with a key over a slow link, disturbs them in the middle, retries all of them
+/// Starts purchases with keys over a slow link, injects a fault while they run, retries all of them
 /// through other proxies and checks that each has run once.
 fn run_with_fault(mut fleet: SessionFleet, inject_fault: impl FnOnce(&mut SessionFleet)) {
     const COUNT: usize = 40;
-    let mut caller = fleet.proxies[0].connect();
-    caller.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
-    caller.batch_execute("CREATE TABLE vouchers (id bigint, meter text)").unwrap();
+    let mut setup_client = fleet.proxies[0].connect();
+    setup_client.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
+    setup_client.batch_execute("CREATE TABLE vouchers (id bigint, meter text)").unwrap();
     for number in 0..COUNT {
         let sql = format!("INSERT INTO vouchers VALUES ({number}, 'v'), ({number}, 'w')");
-        caller.batch_execute(&sql).unwrap();
+        setup_client.batch_execute(&sql).unwrap();
     }
-    assert_eq!(run(&mut caller, &purchase(900, true)), RequestOutcome::Done(1));
-    // Each step of a conversation takes 30 ms and the starts are spread, so that the inject_fault
-    // meets purchases in all phases.
+    assert_eq!(run(&mut setup_client, &purchase(900, true)), RequestOutcome::Done(1));
+    // Each step of a conversation takes 30 ms and the starts are spread, so that the fault occurs in
+    // all phases of a purchase.
     let way = Duration::from_millis(15);
     fleet.links.set_delay("billing-1", way, way).unwrap();
-    // The second statement has another outcome if it runs again.
+    // Running a DELETE again would give another row count.
     let statement = |number: usize| match number % 2 {
         0 => purchase(number, true),
         _ => format!("/*request_key='k{number:06}'*/ DELETE FROM vouchers WHERE id = {number}"),
@@ -239,10 +240,10 @@
     let left = fleet.group.table("vouchers").unwrap().rows.len();
     assert_eq!(left, COUNT, "vouchers of even numbers are left, two each");
     let done = answers.iter().filter(|answer| matches!(answer, RequestOutcome::Done(_))).count();
-    println!("{done} of {COUNT} acknowledged at the first try, all exactly once after the retry");
+    println!("{done} of {COUNT} acknowledged at the first attempt, all ran once after the retry");
 }
 
-/// Index of the proxy that owns the primary.
+/// Returns the index of the proxy that owns the primary.
 fn owner(fleet: &SessionFleet) -> usize {
     let owns =
         |proxy: &ProxyProcess| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
@@ -281,12 +282,12 @@
     });
 }
 
-/// Starts purchases without a key, disturbs them in the middle and checks what each caller was told.
+/// Starts purchases without keys, injects a fault while they run and checks the outcome of each.
 fn check_fault_without_keys(inject_fault: impl FnOnce(&mut SessionFleet)) {
     const COUNT: usize = 60;
     let mut fleet = SessionFleet::start(FleetSetup::new(3));
-    let mut caller = fleet.proxies[0].connect();
-    caller.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
+    let mut setup_client = fleet.proxies[0].connect();
+    setup_client.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
     let way = Duration::from_millis(15);
     fleet.links.set_delay("billing-1", way, way).unwrap();
     let requests: Vec<_> = (0..COUNT)
@@ -303,7 +304,7 @@
     fleet.links.set_delay("billing-1", Duration::ZERO, Duration::ZERO).unwrap();
     let answers: Vec<RequestOutcome> =
         requests.into_iter().map(|request| request.join().unwrap()).collect();
-    // Statements of connections that ended have ended by now.
+    // Allows statements of closed connections that are still running to end.
     std::thread::sleep(Duration::from_millis(200));
     let counts = purchases(&fleet);
     let mut tally: BTreeMap<String, usize> = BTreeMap::new();
@@ -340,8 +341,8 @@
 #[test]
 fn concurrent_requests_with_one_key_run_once() {
     let fleet = SessionFleet::start(FleetSetup::new(2));
-    let mut caller = fleet.proxies[0].connect();
-    caller.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
+    let mut setup_client = fleet.proxies[0].connect();
+    setup_client.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
     let mut clients: Vec<Client> =
         (0..4).map(|number| fleet.proxies[number % 2].connect()).collect();
     for number in 0..20 {
@@ -356,7 +357,7 @@
     let counts = purchases(&fleet);
     assert!(counts.len() == 20 && counts.values().all(|count| *count == 1), "{counts:?}");
 
-    // The same key with another statement is an error, through every proxy, and runs nothing.
+    // Reusing the key for another statement is an error through every proxy and runs nothing.
     for proxy in &fleet.proxies {
         let mut client = proxy.connect();
         let sql = "/*request_key='k000001'*/ INSERT INTO purchases VALUES (77, 'other')";
