--- a/crates/daemon/tests/ranks.rs
+++ b/crates/daemon/tests/ranks.rs
@@ -1,9 +1,10 @@
-//! Service of the ranks with real processes: three proxies in front of one database group with two slots.
+//! Scheduling of the ranks with real processes: three proxies in front of one database group with two
+//! slots.
 //!
-//! Every statement takes 20 ms, so the primary serves 100 statements/s. What ran is counted in the
-//! stand-in's tables, one for each rank. Callers check deadlines themselves. An urgent statement needs
-//! about 20 ms for a slot, 20 ms in it and one round of reports; its deadline of 3 s leaves more than
-//! ten times that to a busy machine.
+//! Every statement takes 20 ms, so the primary serves 100 statements/s. Statements that ran are
+//! counted in the fake database's tables, one for each rank. Clients check deadlines themselves. An
+//! urgent statement waits about 20 ms for a slot, runs for 20 ms and waits for a report round; its
+//! deadline of 3 s allows more than ten times that on a busy machine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,7 +25,7 @@
 const SLOTS: u32 = 2;
 const URGENT_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Work of one rank: label, rank, deadline in ms, minimum share in percent.
+/// Kinds of requests: label, rank, deadline in ms, minimum share in percent.
 const KINDS: [(&str, &str, u64, u64); 3] = [
     ("token", "urgent", 3_000, 0),
     ("balance", "interactive", 2_000, 15),
@@ -33,13 +34,13 @@
 
 static NEXT_ID: AtomicI64 = AtomicI64::new(1);
 
-/// One request of a caller.
+/// One request of a client.
 #[derive(Clone, Debug)]
 struct RequestRecord {
     id: i64,
     sent: Instant,
     took: Duration,
-    /// SQLSTATE of the error.
+    /// SQLSTATE of the error, if the request failed.
     failed: Option<String>,
 }
 
@@ -60,8 +61,9 @@
                 "deadline_ms": deadline })
     });
     document["selectors"] = selectors.into_iter().collect();
-    let shares =
-        KINDS.map(|(_, rank, _, floor)| (rank.to_owned(), json!({ "floor_percent": floor })));
+    let shares = KINDS.map(|(_, rank, _, minimum_share)| {
+        (rank.to_owned(), json!({ "floor_percent": minimum_share }))
+    });
     document["ranks"] = Value::Object(shares.into_iter().collect());
     let path = temporary_file("ranks");
     std::fs::write(&path, document.to_string()).unwrap();
@@ -74,7 +76,7 @@
     fleet
 }
 
-/// Sends one request each period until told to stop; a late answer delays the next one.
+/// Sends one request each period until `stop` is set; a late answer delays the next request.
 fn send_until(
     address: SocketAddr,
     kind: &str,
@@ -98,15 +100,15 @@
     records
 }
 
-/// Callers of one kind.
+/// Clients that send one kind of request.
 struct ClientGroup {
     kind: &'static str,
-    callers: u32,
-    /// Requests each second of all callers together.
+    clients: u32,
+    /// Requests per second of all clients together.
     rate: u32,
 }
 
-/// Runs groups of callers spread over the proxies, with `during` in the middle; returns their records.
+/// Runs groups of clients spread over the proxies while `during` runs; returns their records.
 fn run_groups(
     fleet: &TestFleet,
     groups: &[ClientGroup],
@@ -118,16 +120,16 @@
         let threads: Vec<Vec<_>> = groups
             .iter()
             .map(|group| {
-                let period = Duration::from_secs(1) * group.callers / group.rate;
-                let start = |caller: u32| {
-                    let address = fleet.node(caller as usize % 3).caller_address;
+                let period = Duration::from_secs(1) * group.clients / group.rate;
+                let start = |client: u32| {
+                    let address = fleet.node(client as usize % 3).caller_address;
                     let kind = group.kind;
                     scope.spawn(move || {
-                        std::thread::sleep(period * caller / group.callers);
+                        std::thread::sleep(period * client / group.clients);
                         send_until(address, kind, period, stop)
                     })
                 };
-                (0..group.callers).map(start).collect()
+                (0..group.clients).map(start).collect()
             })
             .collect();
         during();
@@ -139,8 +141,8 @@
     })
 }
 
-/// Checks that what was acknowledged ran once and that what was refused did not run; returns the
-/// numbers of acknowledged and refused requests.
+/// Checks that acknowledged requests ran once and that refused ones did not run; returns the number
+/// of each.
 fn check_records(fleet: &TestFleet, kind: &str, records: &[RequestRecord]) -> (usize, usize) {
     let written = final_rows(&fleet.groups[0], kind);
     let distinct: BTreeSet<i64> = written.iter().copied().collect();
@@ -165,57 +167,57 @@
     (acknowledged, refused)
 }
 
-// Guards against batch work that delays urgent work, refusals of requests that ran, and a backlog that
-// outlives its flood.
+// Guards against batch requests that delay urgent ones, refusals of requests that ran, and a backlog
+// that persists after an overload.
 #[test]
 fn urgent_requests_meet_their_deadline_in_a_batch_overload() {
     let fleet = start_fleet();
     let length = Duration::from_secs(5);
     let groups = [
-        ClientGroup { kind: "token", callers: 20, rate: 40 },
-        ClientGroup { kind: "reading", callers: 300, rate: 300 },
+        ClientGroup { kind: "token", clients: 20, rate: 40 },
+        ClientGroup { kind: "reading", clients: 300, rate: 300 },
     ];
     let records = run_groups(&fleet, &groups, || std::thread::sleep(length));
     let (_, refused) = check_records(&fleet, "token", &records[0]);
     assert_eq!(refused, 0, "urgent requests were refused");
     assert!(records[0].iter().all(|record| record.took <= URGENT_DEADLINE));
     let (readings, refused) = check_records(&fleet, "reading", &records[1]);
-    assert!(refused > 0, "there was no flood");
-    // 300/s are due; callers that wait for an answer send a little less.
+    assert!(refused > 0, "no request was refused, so there was no overload");
+    // 300/s are due; clients that wait for an answer send slightly fewer.
     let offered = records[1].len() as u64 / length.as_secs();
     println!("offered: {offered} readings/s");
-    assert!(offered >= 200, "{offered} readings/s are no flood");
-    // At least its minimum share of 100 statements/s.
+    assert!(offered >= 200, "{offered} readings/s are no overload");
+    // Batch gets at least its minimum share of 100 statements/s.
     assert!(readings >= 10 * length.as_secs() as usize, "{readings} readings ran");
 
-    // The flood is over when its last caller has its answer.
+    // The overload ends when its last client has its answer.
     let ended = records[1].iter().map(|record| record.sent + record.took).max().unwrap();
     let groups = [
-        ClientGroup { kind: "token", callers: 6, rate: 20 },
-        ClientGroup { kind: "balance", callers: 6, rate: 10 },
-        ClientGroup { kind: "reading", callers: 6, rate: 10 },
+        ClientGroup { kind: "token", clients: 6, rate: 20 },
+        ClientGroup { kind: "balance", clients: 6, rate: 10 },
+        ClientGroup { kind: "reading", clients: 6, rate: 10 },
     ];
     let records = run_groups(&fleet, &groups, || std::thread::sleep(Duration::from_secs(2)));
-    println!("after the flood: {:?}", ended.elapsed());
+    println!("after the overload: {:?}", ended.elapsed());
     for (group, records) in groups.iter().zip(&records) {
         let (_, refused) = check_records(&fleet, group.kind, records);
-        assert_eq!(refused, 0, "{} is refused after the flood", group.kind);
+        assert_eq!(refused, 0, "{} is refused after the overload", group.kind);
     }
 }
 
-// Guards against urgent work that takes the minimum shares of the other ranks.
+// Guards against urgent requests that take the minimum shares of the other ranks.
 #[test]
 fn other_ranks_keep_their_minimum_share_in_an_urgent_overload() {
     let fleet = start_fleet();
     let groups = [
-        ClientGroup { kind: "token", callers: 300, rate: 300 },
-        ClientGroup { kind: "balance", callers: 60, rate: 60 },
-        ClientGroup { kind: "reading", callers: 60, rate: 60 },
+        ClientGroup { kind: "token", clients: 300, rate: 300 },
+        ClientGroup { kind: "balance", clients: 60, rate: 60 },
+        ClientGroup { kind: "reading", clients: 60, rate: 60 },
     ];
     let count = || KINDS.map(|(kind, ..)| final_rows(&fleet.groups[0], kind).len());
     let (mut before, mut after) = ([0; 3], [0; 3]);
     let records = run_groups(&fleet, &groups, || {
-        // Until then the queues of all ranks have filled.
+        // Wait until the queues of all ranks have filled.
         std::thread::sleep(Duration::from_secs(2));
         before = count();
         std::thread::sleep(Duration::from_secs(6));
@@ -226,13 +228,17 @@
     println!("ran in 6 s: {ran:?} of {total}");
     for (group, records) in groups.iter().zip(&records) {
         let (_, refused) = check_records(&fleet, group.kind, records);
-        assert!(refused > 0 || group.kind != "token", "there was no flood");
+        assert!(
+            refused > 0 || group.kind != "token",
+            "no request was refused, so there was no overload"
+        );
     }
-    // All statements have one length, so a share of the slot time is a share of the statements. The
-    // queue may owe a rank one statement, and each end of the count cuts through one in each slot.
+    // All statements take the same time, so a share of the slot time equals a share of the
+    // statements. The queue may owe a rank one statement, and each end of the count may split one in
+    // each slot.
     let tolerance = 1 + 2 * SLOTS as usize;
-    for ((kind, _, _, floor), ran) in KINDS.into_iter().zip(ran) {
-        let least = (total * floor as usize / 100).saturating_sub(tolerance);
+    for ((kind, _, _, minimum_share), ran) in KINDS.into_iter().zip(ran) {
+        let least = (total * minimum_share as usize / 100).saturating_sub(tolerance);
         assert!(ran >= least, "{kind}: {ran} of {total} statements, minimum {least}");
     }
 }
--- a/crates/daemon/tests/sessions/mod.rs
+++ b/crates/daemon/tests/sessions/mod.rs
@@ -1,5 +1,5 @@
-//! Proxies in several data centres whose backend connections pass a fault proxy, and callers that
-//! speak the protocol byte by byte.
+//! Proxies in several data centres whose backend connections pass through a fault proxy, and clients
+//! that send raw protocol messages.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -19,7 +19,7 @@
 
 use crate::common::{ProxyProcess, code, start_proxy, wait_until};
 
-/// What a [`SessionFleet`] is made of.
+/// Configuration of a [`SessionFleet`].
 pub struct FleetSetup {
     pub group: GroupOptions,
     /// Data centre of each proxy.
@@ -101,7 +101,7 @@
         PlatformClient::new(self.platform.address(), Duration::from_secs(2))
     }
 
-    /// Writes the token keys over the version with index `index`.
+    /// Replaces the version of the token keys with index `index`.
     pub fn put_token_keys(&self, keys: &Value, index: u64) {
         let client = self.platform_client();
         let text = keys.to_string();
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Connects to a database without a proxy.
+    /// Connects to a database without going through a proxy.
     pub fn connect_directly(&self, database: &str) -> Client {
         let address = self.group.address(database).unwrap();
         let mut config = postgres::Config::new();
@@ -148,7 +148,7 @@
         config.dbname("billing").connect(postgres::NoTls).unwrap()
     }
 
-    /// Adds a counter of the proxies' state dumps up.
+    /// Returns the sum of a counter over the proxies' state dumps.
     pub fn counter(&self, section: &str, name: &str) -> u64 {
         let read =
             |proxy: &ProxyProcess| proxy.get("/v1/dump")[section][name].as_u64().unwrap_or(0);
@@ -156,7 +156,7 @@
     }
 }
 
-/// Ends the loops of a scope's threads also when an assertion fails, so that the scope ends.
+/// Sets the stop flag on drop, so that a scope's threads also end when an assertion fails.
 pub struct StopGuard<'a>(pub &'a AtomicBool);
 
 impl Drop for StopGuard<'_> {
@@ -165,10 +165,10 @@
     }
 }
 
-/// What a caller was told about a request.
+/// Outcome of a request as reported to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Number of rows of the command tag.
+    /// Row count of the command tag.
     Done(u64),
     Error(String),
 }
@@ -197,7 +197,7 @@
     }
 }
 
-/// A caller without a driver.
+/// A client on a plain TCP connection, without a client library.
 pub struct RawClient {
     pub stream: TcpStream,
 }
@@ -207,12 +207,12 @@
     pub fn open(proxy: &ProxyProcess) -> Self {
         let mut packet = BytesMut::new();
         pg::put_startup(&mut packet, &[("user", "vendor"), ("database", "billing")]);
-        let mut caller = RawClient::start(proxy, &packet);
-        caller.read_until(b'Z');
-        caller
+        let mut client = RawClient::start(proxy, &packet);
+        client.read_until(b'Z');
+        client
     }
 
-    /// Connects and sends a first packet.
+    /// Connects and sends the first packet.
     pub fn start(proxy: &ProxyProcess, packet: &[u8]) -> Self {
         let mut stream = TcpStream::connect(proxy.caller_address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(15))).unwrap();
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Reads up to a `ReadyForQuery` or the end and renders what arrived, one message a line.
+    /// Reads up to a `ReadyForQuery` or the end of the stream and renders one message per line.
     pub fn transcript(&mut self) -> String {
         let mut lines = Vec::new();
         while let Some((kind, body)) = self.next() {
