--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests through real proxies in front of a stand-in database group.
+//! Clients' requests through real proxies in front of a fake database group.
 
 #![allow(clippy::unwrap_used)]
 
@@ -43,12 +43,12 @@
         let read = rows(&mut client, &format!("SELECT id FROM {table} WHERE id >= 500"));
         assert_eq!(read, Ok(vec![vec![Some("500".to_owned())]]));
 
-        // An error leaves the session usable, and has the backend server's code.
+        // An error has the backend server's code and leaves the session usable.
         let error = client.batch_execute("SELECT * FROM missing").unwrap_err();
         assert_eq!(code(&error), "42P01");
         assert_eq!(rows(&mut client, "SELECT 1"), Ok(vec![vec![Some("1".to_owned())]]));
     }
-    // Something of the above went over the link between the proxies.
+    // Some of these requests were forwarded between the proxies.
     let forwards: u64 = fleet
         .proxies
         .iter()
@@ -78,7 +78,7 @@
         assert_eq!(read.len(), 10_000);
         assert!(read.iter().all(|row| row.get::<_, &str>(1).len() == 1_000));
 
-        // A caller that does not read keeps the answer at the backend server.
+        // While a client does not read, the rest of its answer stays at the backend server.
         let before = proxy.resident_bytes();
         let mut slow: Vec<TcpStream> = Vec::new();
         for _ in 0..3 {
@@ -91,26 +91,26 @@
         std::thread::sleep(Duration::from_millis(500));
         let grown = proxy.resident_bytes().saturating_sub(before);
         assert!(grown < 20 << 20, "three unread answers of 10 MB hold {grown} bytes");
-        // It gets the whole answer once it reads.
+        // The client gets the complete answer once it reads.
         let mut stream = slow.remove(0);
         let mut received = 0;
         let mut buffer = vec![0; 1 << 20];
         while received < 10_000_000 {
             let count = stream.read(&mut buffer).unwrap();
-            assert!(count > 0, "the answer broke off after {received} bytes");
+            assert!(count > 0, "the answer ended after {received} bytes");
             received += count;
         }
-        // The others leave in the middle; their connections and slots come back.
+        // The others disconnect during the answer; their connections and slots are released.
         drop(slow);
         drop(stream);
-        wait_until("the runs of callers that left are over", || {
+        wait_until("the requests of disconnected clients have ended", || {
             proxy.get("/v1/dump")["shell"]["run_count"] == 0
         });
         assert_eq!(rows(&mut client, "SELECT 1"), Ok(vec![vec![Some("1".to_owned())]]));
     }
 }
 
-/// Opens a session without a driver and reads up to its first `ReadyForQuery`.
+/// Opens a session on a plain TCP connection and reads up to its first `ReadyForQuery`.
 fn open_raw(proxy: &common::ProxyProcess) -> TcpStream {
     let mut stream = TcpStream::connect(proxy.caller_address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -156,14 +156,14 @@
         stream.write_all(&query).unwrap();
         read_message(stream, b'D');
     }
-    // Answers of 30 MB are larger than all buffers on the way, so they are not complete yet.
+    // Answers of 30 MB exceed all buffers in between, so they are not complete yet.
     fleet.group.kill("billing-1").unwrap();
     for stream in &mut streams {
         let error = pg::read_error(&read_message(stream, b'E')).unwrap();
         assert_eq!(error.severity, "ERROR", "{error:?}");
         read_message(stream, b'Z');
     }
-    // Another database takes over, and the sessions go on.
+    // After the failover the sessions are usable.
     for stream in &mut streams {
         wait_until("writes are served again", || {
             let mut query = bytes::BytesMut::new();
@@ -200,7 +200,7 @@
     let row = read_message(&mut stream, b'D');
     assert_eq!(pg::read_data_row(&row).unwrap(), [Some("7".to_owned())]);
     read_message(&mut stream, b'Z');
-    // An error before the Flush skips what follows up to the Sync.
+    // After an error before the Flush, messages up to the Sync are skipped.
     let mut input = bytes::BytesMut::new();
     pg::put_parse(&mut input, "", "SELECT * FROM missing", &[]);
     input.extend_from_slice(b"H\0\0\0\x04");
@@ -251,7 +251,7 @@
     let before = proxy.resident_bytes();
     idle.extend((0..500).map(|_| open_raw(proxy)));
     let grown = proxy.resident_bytes().saturating_sub(before) / 500;
-    // The target of 8,500 callers in half a gigabyte leaves 60 KB for each.
+    // The target of 8,500 clients in half a gigabyte leaves 60 KB for each.
     assert!(grown < 16 * 1024, "an idle session takes {grown} bytes");
     let dump = proxy.get("/v1/dump");
     let sessions = dump["shell"]["sessions"].as_array().unwrap();
@@ -274,7 +274,7 @@
         let row = read_message(&mut stream, b'D');
         assert_eq!(pg::read_data_row(&row).unwrap(), [Some(number.to_string())]);
         read_message(&mut stream, b'Z');
-        // The answer to the Sync.
+        // Read the answer to the Sync.
         read_message(&mut stream, b'Z');
     }
 }
--- a/crates/daemon/tests/transactions.rs
+++ b/crates/daemon/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions are not mixed and leave nothing behind; each caller gets its own answers, whole.
+//! Transactions are isolated and release their resources; each client gets its own complete answers.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,14 +17,14 @@
 use postgres::Client;
 use sessions::{FleetSetup, RawClient, RequestOutcome, SessionFleet, StopGuard, run};
 
-/// Starts a fleet whose primary has few connections.
+/// Starts a fleet whose primary allows few connections.
 fn start_small(proxies: usize) -> SessionFleet {
     let mut setup = FleetSetup::new(proxies);
     (setup.group.slots, setup.group.connections) = (2, 10);
     SessionFleet::start(setup)
 }
 
-/// Index of the proxy that owns the primary.
+/// Returns the index of the proxy that owns the primary.
 fn owner(fleet: &SessionFleet) -> usize {
     let owns =
         |proxy: &ProxyProcess| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
@@ -64,7 +64,7 @@
                     for step in 0..steps {
                         let insert = format!("INSERT INTO entries VALUES ('{tag}', {step})");
                         client.batch_execute(&insert).unwrap();
-                        // Its own rows so far are there, and none of a transaction in progress.
+                        // The session sees its own rows so far, and none of another open transaction.
                         let select = format!("SELECT step FROM entries WHERE tag = '{tag}'");
                         assert_eq!(rows(&mut client, &select).unwrap().len(), step + 1, "{tag}");
                     }
@@ -129,7 +129,7 @@
     for row in fleet.group.table("meters").unwrap().rows {
         assert_eq!(row[1].as_deref(), Some("2"), "an update of the ended transactions is left");
     }
-    // The callers learn that their transactions are gone.
+    // The clients get an error, because their transactions have been rolled back.
     for client in &mut holders {
         let answer = run(client, "COMMIT");
         let RequestOutcome::Error(code) = &answer else {
@@ -157,10 +157,10 @@
     client.batch_execute("INSERT INTO meters VALUES (1, 0)").unwrap();
     for proxy in &fleet.proxies {
         drop(lock_row(proxy, 1));
-        // More statements than slots, from callers that leave while they run or wait.
+        // More statements than slots, whose clients disconnect while they run or wait.
         let mut leaving: Vec<RawClient> = (0..5).map(|_| RawClient::open(proxy)).collect();
-        for caller in &mut leaving {
-            caller.query("SELECT pg_sleep(30)");
+        for raw_client in &mut leaving {
+            raw_client.query("SELECT pg_sleep(30)");
         }
         wait_until("the slots are taken", || {
             fleet.group.counters("billing-1").unwrap().slots_busy == 2
@@ -200,7 +200,7 @@
         for number in 0..60u64 {
             let mut client = fleet.proxies[number as usize % 2].connect();
             let token = client.cancel_token();
-            // The request meets the statement in the queue, running, at its end and after it.
+            // The cancel request arrives while the statement is queued, running, ending or complete.
             let canceller = std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(number % 12));
                 token.cancel_query(postgres::NoTls).unwrap();
@@ -221,7 +221,7 @@
     });
 }
 
-/// Extended requests and simple queries, each with its number.
+/// Returns extended requests and simple queries, each with its number.
 fn numbered_requests() -> BytesMut {
     let mut input = BytesMut::new();
     for number in 0..12 {
@@ -247,11 +247,11 @@
     for proxy in &fleet.proxies {
         let mut answers = Vec::new();
         for chunk in [input.len(), 1, 2, 3, 5, 7, 64] {
-            let mut caller = RawClient::open(proxy);
+            let mut raw_client = RawClient::open(proxy);
             for part in input.chunks(chunk) {
-                caller.stream.write_all(part).unwrap();
+                raw_client.stream.write_all(part).unwrap();
             }
-            let transcript: Vec<String> = (0..24).map(|_| caller.transcript()).collect();
+            let transcript: Vec<String> = (0..24).map(|_| raw_client.transcript()).collect();
             answers.push(transcript);
         }
         for number in 0..12 {
@@ -272,7 +272,7 @@
     let fleet = SessionFleet::start(setup);
     let proxy = &fleet.proxies[0];
     proxy.connect().batch_execute("CREATE TABLE meters (id bigint)").unwrap();
-    // The first session leaves its unnamed statement on the connection that both use.
+    // The first session's unnamed statement stays on the connection that both sessions use.
     let mut first = RawClient::open(proxy);
     let mut input = BytesMut::new();
     pg::put_parse(&mut input, "", "INSERT INTO meters VALUES (1)", &[]);
@@ -289,7 +289,7 @@
     assert_eq!(fleet.group.table("meters").unwrap().rows.len(), 1);
 }
 
-/// Rows of 1 KB in the table of [`fill_readings`].
+/// Number of 1 KB rows that [`fill_readings`] inserts.
 const READINGS: usize = 24_000;
 
 fn fill_readings(fleet: &SessionFleet) {
@@ -309,14 +309,14 @@
     let fleet = SessionFleet::start(FleetSetup::new(2));
     fill_readings(&fleet);
     for proxy in &fleet.proxies {
-        let mut caller = RawClient::open(proxy);
+        let mut raw_client = RawClient::open(proxy);
         let before = proxy.resident_bytes();
-        caller.query("SELECT id, note FROM readings");
+        raw_client.query("SELECT id, note FROM readings");
         let (mut received, mut highest) = (Vec::new(), 0);
         let mut buffer = vec![0; 256 * 1024];
         while !received.ends_with(b"Z\0\0\0\x05I") {
-            let count = caller.stream.read(&mut buffer).unwrap();
-            assert!(count > 0, "the answer broke off after {} bytes", received.len());
+            let count = raw_client.stream.read(&mut buffer).unwrap();
+            assert!(count > 0, "the answer ended after {} bytes", received.len());
             received.extend_from_slice(&buffer[..count]);
             highest = highest.max(proxy.resident_bytes());
             std::thread::sleep(Duration::from_millis(2));
@@ -364,14 +364,14 @@
             for bytes in [100_000, 1_000_003, 9_999_999] {
                 let mark = format!("cut-{number}-{bytes}");
                 fleet.links.limit_marked("billing-1", &mark, Direction::ToCaller, bytes).unwrap();
-                let mut caller = RawClient::open(proxy);
-                caller.query(&format!("SELECT id, note FROM readings /* {mark} */"));
-                let answer = caller.read_until(b'Z');
+                let mut raw_client = RawClient::open(proxy);
+                raw_client.query(&format!("SELECT id, note FROM readings /* {mark} */"));
+                let answer = raw_client.read_until(b'Z');
                 let (kind, body) = &answer[answer.len() - 2];
                 assert_eq!(*kind, b'E', "{mark}");
                 let error = pg::read_error(body).unwrap();
                 assert_eq!((error.severity.as_str(), error.code.as_str()), ("ERROR", "08006"));
-                // What arrived before the error is the beginning of the answer.
+                // The rows before the error are the beginning of the answer.
                 let mut count = 0;
                 for (_, body) in answer.iter().filter(|(kind, _)| *kind == b'D') {
                     let row = pg::read_data_row(body).unwrap();
@@ -380,8 +380,11 @@
                 }
                 assert!(count < READINGS, "{mark}: all rows and an error");
                 assert!(bytes < 500_000 || count > 0, "{mark}: no row was relayed");
-                caller.query("SELECT 7");
-                assert_eq!(caller.transcript(), "row [Some(\"7\")]\ncomplete SELECT 1\nready I");
+                raw_client.query("SELECT 7");
+                assert_eq!(
+                    raw_client.transcript(),
+                    "row [Some(\"7\")]\ncomplete SELECT 1\nready I"
+                );
             }
         }
         stop.store(true, Ordering::SeqCst);
@@ -397,7 +400,7 @@
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let _stop = StopGuard(&stop);
-        // Answers that are read at a short delay overtake those of other connections.
+        // With changing delays, answers overtake those of other connections.
         scope.spawn(|| {
             let mut turn = 0u64;
             while !stop.load(Ordering::SeqCst) {
@@ -407,20 +410,20 @@
                 std::thread::sleep(Duration::from_millis(4));
             }
         });
-        let callers: Vec<_> = (0..8)
+        let clients: Vec<_> = (0..8)
             .map(|session| {
                 let proxy = &fleet.proxies[session % 2];
                 scope.spawn(move || {
-                    let mut caller = RawClient::open(proxy);
-                    // Up to four requests are on their way at once.
+                    let mut raw_client = RawClient::open(proxy);
+                    // Up to four requests are pipelined.
                     for request in 0..REQUESTS + 4 {
                         if request < REQUESTS {
                             let pad = "x".repeat(request * 50);
-                            caller.query(&format!("SELECT 's{session}-{request}', '{pad}'"));
+                            raw_client.query(&format!("SELECT 's{session}-{request}', '{pad}'"));
                         }
                         if request >= 4 {
                             let number = request - 4;
-                            let transcript = caller.transcript();
+                            let transcript = raw_client.transcript();
                             let pad = "x".repeat(number * 50);
                             let row =
                                 format!("row [Some(\"s{session}-{number}\"), Some(\"{pad}\")]");
@@ -430,15 +433,15 @@
                 })
             })
             .collect();
-        let results: Vec<_> = callers.into_iter().map(|caller| caller.join()).collect();
+        let results: Vec<_> = clients.into_iter().map(|raw_client| raw_client.join()).collect();
         stop.store(true, Ordering::SeqCst);
         assert!(results.iter().all(Result::is_ok));
     });
 }
 
-/// What a caller of the table of bad input sends.
+/// Input of one case of the table of invalid input.
 enum BadInput {
-    /// Bytes of an open session.
+    /// Bytes sent on an open session.
     Messages(Vec<u8>),
     Query(&'static str),
     /// The first packet of a connection.
@@ -523,20 +526,20 @@
         });
         let mut lines = Vec::new();
         for (name, input) in &cases {
-            let mut caller = match input {
+            let mut raw_client = match input {
                 Start(packet) => RawClient::start(proxy, packet),
                 _ => RawClient::open(proxy),
             };
             match input {
-                Messages(bytes) => caller.stream.write_all(bytes).unwrap(),
-                Query(sql) => caller.query(sql),
+                Messages(bytes) => raw_client.stream.write_all(bytes).unwrap(),
+                Query(sql) => raw_client.query(sql),
                 Start(_) => {}
             }
-            lines.push(format!("{name}: {}", caller.transcript().replace('\n', " | ")));
+            lines.push(format!("{name}: {}", raw_client.transcript().replace('\n', " | ")));
             let ended = lines.last().unwrap().ends_with("closed");
             if !ended {
-                caller.query("SELECT 7");
-                assert!(caller.transcript().contains("row [Some(\"7\")]"), "after {name}");
+                raw_client.query("SELECT 7");
+                assert!(raw_client.transcript().contains("row [Some(\"7\")]"), "after {name}");
             }
         }
         stop.store(true, Ordering::SeqCst);
