--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration with the real client and real daemons, under failures.
+//! Configuration changes with the real CLI and real daemons, under failures.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,10 +15,10 @@
 use common::{temporary_file, wait_until};
 use fake::fakeplatform::{CallCounters, OutageMode};
 
-/// Longest time until a change is active everywhere.
+/// Longest time until a change is active on all nodes.
 const CHANGE_LIMIT: Duration = Duration::from_secs(17);
 
-/// A configuration file; drop removes it.
+/// A configuration file, removed on drop.
 struct ConfigurationFile(PathBuf);
 
 impl ConfigurationFile {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Applies a configuration and expects that it becomes a revision.
+/// Applies a configuration and checks that it becomes revision `revision`.
 fn apply(fleet: &TestFleet, deadline_ms: u64, revision: u64) -> CliRun {
     let file = ConfigurationFile::new(fleet, deadline_ms);
     let run = file.apply(fleet.platform.address(), "olga");
@@ -49,7 +49,7 @@
     run
 }
 
-/// Deadline in ms that a node gives to the work of a caller without labels.
+/// Returns the deadline in ms that a node gives to requests of a caller without labels.
 fn deadline_at(fleet: &TestFleet, node: usize) -> u64 {
     let explained = fleet.node(node).get(&format!("/v1/explain?cluster={}", cluster_name(0)));
     explained["deadline_ms"].as_u64().unwrap_or(0)
@@ -62,7 +62,7 @@
 }
 
 /// Polls the nodes' revisions and records each that is lower than an earlier one of the same node.
-/// A node that has no configuration yet shows 0, takes no callers, and does not count.
+/// A node without a configuration reports 0 and accepts no clients, so 0 does not count as lower.
 struct RevisionMonitor {
     addresses: Arc<Mutex<BTreeMap<usize, SocketAddr>>>,
     lower: Arc<Mutex<Vec<String>>>,
@@ -109,14 +109,14 @@
         monitor
     }
 
-    /// Polls a node at its present address.
+    /// Starts to poll a node at its current address.
     fn follow(&self, fleet: &TestFleet, node: usize) {
         let address = fleet.node(node).admin_address;
         self.addresses.lock().unwrap().insert(node, address);
     }
 
-    /// Polls a node no more; it is about to stop.
-    fn leave(&self, node: usize) {
+    /// Stops polling a node that is about to stop.
+    fn unfollow(&self, node: usize) {
         self.addresses.lock().unwrap().remove(&node);
     }
 
@@ -129,7 +129,7 @@
 
     fn check(self, fleet: &TestFleet) {
         for node in 0..fleet.options.nodes {
-            assert!(self.samples.lock().unwrap()[&node] > 20, "node {node} was hardly polled");
+            assert!(self.samples.lock().unwrap()[&node] > 20, "node {node} was polled too rarely");
         }
         assert_eq!(*self.lower.lock().unwrap(), Vec::<String>::new());
     }
@@ -141,8 +141,8 @@
     }
 }
 
-/// Applies changes of the selectors' deadline one after the other to nine nodes in four data centres.
-/// Returns the time of each from the client's end to the last node, and its calls to the platform.
+/// Applies changes of the selectors' deadline one after another to nine nodes in four data centres.
+/// Returns for each the time from the CLI's exit until the last node has it, and its platform calls.
 fn measure_changes(count: u64) -> Vec<(Duration, u64)> {
     let fleet = TestFleet::start(FleetOptions {
         data_centres: 4,
@@ -178,9 +178,9 @@
     figures
 }
 
-/// Guards against a change that takes long to reach some node, and against calls per node: the client
+/// Guards against a change that reaches a node late, and against platform calls by each node: the CLI
 /// reads and writes once, and the watcher of each of the four data centres starts its next query. The
-/// bound allows for watches that end by themselves at that moment.
+/// limit allows for watches that time out at the same moment.
 #[test]
 fn change_is_active_on_all_nodes_within_its_bound() {
     for (_, calls) in measure_changes(3) {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Prints the time and the calls of 20 changes. Run by hand:
+/// Prints the time and the calls of 20 changes. Run manually:
 /// `cargo test -p daemon --test configuration -- --ignored --nocapture measure_changes`.
 #[test]
 #[ignore = "a measurement, run by hand"]
@@ -204,11 +204,11 @@
     );
 }
 
-/// Guards against a lost change: both operators would believe that theirs is in force.
+/// Guards against a lost change, where both operators would believe that theirs is active.
 #[test]
 fn concurrent_applies_give_one_conflict_that_names_the_winner() {
     let fleet = TestFleet::start(FleetOptions::default());
-    // Both clients have read before either writes.
+    // Slow answers make both CLI runs read before either writes.
     fleet.platform.set_slow(Duration::from_millis(400));
     let platform = fleet.platform.address();
     let runs: Vec<(&str, u64, CliRun)> = std::thread::scope(|scope| {
@@ -231,7 +231,8 @@
     wait_for_deadline(&fleet, 0..5, *deadline_ms);
 }
 
-/// Guards against a second write of a change whose answer was lost, and against a false failure.
+/// Guards against writing a change twice, or reporting it as failed, when the answer to its write was
+/// lost.
 #[test]
 fn lost_answer_is_resolved_by_the_change_id() {
     let fleet = TestFleet::start(FleetOptions::default());
@@ -244,8 +245,8 @@
     assert_eq!(revision.out, "2\n");
 }
 
-/// Guards against nodes that lose their configuration with the platform, and against new nodes that
-/// cannot start without it.
+/// Guards against nodes that lose their configuration when the platform fails, and against new nodes
+/// that cannot start without the platform.
 #[test]
 fn platform_outage_leaves_the_last_configuration_active() {
     let mut fleet = TestFleet::start(FleetOptions::default());
@@ -259,7 +260,7 @@
         assert_eq!(run.code, 5, "{run:?}");
         assert!(run.err.contains("platform"), "{run:?}");
 
-        monitor.leave(node);
+        monitor.unfollow(node);
         fleet.stop_node(node);
         fleet.start_node(node);
         monitor.follow(&fleet, node);
@@ -272,7 +273,8 @@
     monitor.check(&fleet);
 }
 
-/// Guards against nodes that go back together with a platform that lost its latest change.
+/// Guards against nodes that return to an older revision when the platform has lost its latest
+/// change.
 #[test]
 fn platform_that_returns_to_an_older_value_changes_no_node() {
     const KEY: &str = "cicadawick/config";
@@ -293,7 +295,7 @@
     monitor.check(&fleet);
 }
 
-/// Guards against an old revision that spreads from a data centre that was cut off.
+/// Guards against an old revision that spreads from a data centre after a partition.
 #[test]
 fn partitioned_data_centre_never_shows_a_lower_revision() {
     let fleet = TestFleet::start(FleetOptions::default());
@@ -302,7 +304,7 @@
     let monitor = RevisionMonitor::start(&fleet);
     fleet.set_partitioned(0, true, true);
     let inside = fleet.nodes_of(0);
-    // A data centre that cannot be reached keeps its members; they only own nothing on the other side.
+    // An unreachable data centre keeps its members, but for the other side they own no database.
     let owners = |node: usize| -> Vec<String> {
         let explained = fleet.node(node).get(&format!("/v1/explain?cluster={}", cluster_name(0)));
         let databases = explained["databases"].as_object().unwrap();
@@ -332,7 +334,7 @@
     monitor.check(&fleet);
 }
 
-/// Guards against a data centre that depends on its own link to the platform.
+/// Guards against a data centre that gets changes only over its own link to the platform.
 #[test]
 fn data_centre_without_the_platform_gets_changes_from_peers() {
     let fleet = TestFleet::start(FleetOptions::default());
@@ -348,8 +350,7 @@
     assert!(run.elapsed + active < CHANGE_LIMIT, "{active:?}");
 }
 
-/// Guards against a restarted node that takes an old revision from somewhere, with and without the
-/// platform.
+/// Guards against a restarted node that adopts an old revision, with and without the platform.
 #[test]
 fn restarts_one_by_one_never_show_a_lower_revision() {
     let mut fleet = TestFleet::start(FleetOptions::default());
@@ -360,7 +361,7 @@
         wait_for_deadline(&fleet, 0..5, deadline_ms);
         let mode = if node % 2 == 0 { OutageMode::None } else { OutageMode::Refuse };
         fleet.platform.set_outage(mode).unwrap();
-        monitor.leave(node);
+        monitor.unfollow(node);
         fleet.stop_node(node);
         fleet.start_node(node);
         monitor.follow(&fleet, node);
--- a/crates/daemon/tests/consistency.rs
+++ b/crates/daemon/tests/consistency.rs
@@ -1,4 +1,4 @@
-//! Sessions read their own writes, and no answer is older than the age its caller accepts.
+//! Sessions read their own writes, and no answer is older than the age its client accepts.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,14 +15,14 @@
 use serde_json::json;
 use sessions::{FleetSetup, RawClient, RequestOutcome, SessionFleet, StopGuard, run};
 
-/// Age that selectors of these tests accept, unless the session accepts less.
+/// Data age that the selectors of these tests accept. Sessions may accept less.
 const SELECTOR_MAX_AGE: Duration = Duration::from_secs(20);
 
-/// Time between the check of an answer's age at the first byte and the test's clock. The checks use
-/// the proxy's clock readings before that, and this machine may be busy.
+/// Allowed delay between the proxy's age check at the first byte of an answer and the test's clock
+/// reading. The proxy checks with earlier readings of its clock, and the machine may be busy.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(250);
 
-/// Two data centres with a proxy each; writers are urgent and reads interactive.
+/// Configures two data centres with a proxy each; writers are urgent and reads interactive.
 fn setup(group: GroupOptions) -> FleetSetup {
     FleetSetup {
         group,
@@ -41,7 +41,7 @@
     GroupOptions::new("billing", 3)
 }
 
-/// Lets the replicas receive at once and apply late.
+/// Sets how late the replicas apply what they receive at once.
 fn set_lag(fleet: &SessionFleet, lag: Duration) {
     for name in ["billing-2", "billing-3"] {
         fleet.group.set_lag(name, Duration::ZERO, lag).unwrap();
@@ -81,8 +81,8 @@
     let mut client = near.connect();
     create_ticks(&mut client);
     set_lag(&fleet, Duration::from_secs(3));
-    // The round trip to the primary is longer than that to the replicas, so that a replica's answer
-    // would win any race.
+    // The round trip to the primary is longer than that to the replicas, so that a replica would
+    // answer first if it were asked.
     let way = Duration::from_millis(2);
     fleet.links.set_delay("billing-1", way, way).unwrap();
     let mut absent = far.connect();
@@ -95,8 +95,8 @@
         absent.batch_execute(&set).unwrap();
         assert_eq!(read_tick(&mut absent), Ok(n), "token by SET");
 
-        // A token that cannot be trusted counts as absent; the session then sees all that was
-        // acknowledged before it arrived.
+        // An invalid token counts as absent; the session then sees everything that was acknowledged
+        // before the token arrived.
         let mut forged = token.clone().into_bytes();
         let at = n as usize % forged.len();
         forged[at] = if forged[at] == b'A' { b'B' } else { b'A' };
@@ -187,16 +187,17 @@
         }
     }
     let primary = fleet.group.primary().unwrap();
-    assert_ne!(primary, "billing-1", "no change of primary took place");
+    assert_ne!(primary, "billing-1", "no failover took place");
     println!("{acknowledged} acknowledged writes were read back, {failed} writes failed");
 }
 
-/// When each tick was acknowledged; index 0 is the state before the first tick.
+/// Times at which ticks were acknowledged; index 0 is the state before the first tick.
 #[derive(Default)]
 struct TickLog(Mutex<Vec<Instant>>);
 
 impl TickLog {
-    /// Age at `at` of an answer that shows tick `n`: the time since the first write that it lacks.
+    /// Returns the age at `at` of an answer that shows tick `n`, which is the time since the first
+    /// write that it lacks.
     fn age(&self, n: i64, at: Instant) -> Duration {
         let ticks = self.0.lock().unwrap();
         let missing = ticks.get(usize::try_from(n).unwrap() + 1);
@@ -204,18 +205,18 @@
     }
 }
 
-/// What the readers of one phase saw.
+/// Results of the readers in one phase.
 #[derive(Default)]
 struct PhaseResult {
     reads: u64,
     failed: u64,
     stale: u64,
     oldest: Duration,
-    /// Share of the reads that got a slot at a replica.
+    /// Share of the reads that were granted a slot of a replica.
     replica_share: f64,
 }
 
-/// Reads granted a slot at the primary and at the replicas.
+/// Returns the number of reads that were granted a slot of the primary and of the replicas.
 fn granted(fleet: &SessionFleet) -> (u64, u64) {
     let (mut primary, mut replicas) = (0, 0);
     for proxy in &fleet.proxies {
@@ -228,10 +229,10 @@
     (primary, replicas)
 }
 
-/// Reads with an accepted age from both proxies, and measures the age of each answer. Four sessions
-/// stay open; a fifth caller opens a new one for each few reads, as most callers of a fleet do. The
-/// share of replica reads is measured after `settle`, when the sessions' floors are reached, and while
-/// `inject_fault` runs.
+/// Reads through both proxies with an accepted age, and measures the age of each answer. Four
+/// sessions stay open; a fifth client opens a new one every few reads, as most clients of a fleet do.
+/// The share of replica reads is measured while `inject_fault` runs, which starts after `settle`,
+/// when replicas have reached the sessions' required positions.
 fn read_phase(
     fleet: &SessionFleet,
     ticks: &TickLog,
@@ -283,7 +284,7 @@
     result.into_inner().unwrap()
 }
 
-/// Measures the share of replica reads against lag, and disturbs the replicas.
+/// Checks the age of answers and the share of replica reads at several lags and under replica faults.
 fn measure_ages(slots: u32, connections: u32, way: Duration) {
     const ACCEPTED: Duration = Duration::from_millis(1_000);
     let mut options = group();
@@ -302,14 +303,14 @@
         scope.spawn(|| {
             let mut n = 0;
             while !stop.load(Ordering::SeqCst) {
-                // Only the first answer counts; a tick that failed is written again.
+                // Retry until acknowledged; only the first acknowledgement of a tick counts.
                 while write_tick(&mut client, n + 1) != RequestOutcome::Done(1) {}
                 n += 1;
                 ticks.0.lock().unwrap().push(Instant::now());
                 std::thread::sleep(Duration::from_millis(4));
             }
         });
-        // Ends the writer also when an assertion fails, so that the scope does not wait forever.
+        // Stops the writer also when an assertion fails; otherwise the scope would wait forever.
         let _stop = StopGuard(&stop);
         let mut report = |name: &str, result: &PhaseResult| {
             stale += result.stale;
@@ -325,7 +326,7 @@
         for lag in [0, 100, 300, 600, 900, 2_000, 30_000] {
             let lag = Duration::from_millis(lag);
             set_lag(&fleet, lag);
-            // After a change of the lag replicas are first as old as before.
+            // Wait until the replicas have the age of the new lag.
             let settle = ACCEPTED + Duration::from_millis(200);
             let measure = Duration::from_millis(400);
             let result =
@@ -333,14 +334,15 @@
             report(&format!("lag {lag:?}"), &result);
             assert!(result.reads > 0);
             assert_eq!(result.failed, 0, "reads failed at a lag of {lag:?}");
-            // New sessions, whose floors no replica has reached, do not keep the others away.
+            // New sessions, whose required positions no replica has reached, must not keep the other
+            // sessions from using replicas.
             let expected = if lag <= ACCEPTED / 3 { 0.6 } else { 0.0 };
             assert!(result.replica_share >= expected, "at a lag of {lag:?}");
         }
         set_lag(&fleet, Duration::from_millis(100));
         let settle = Duration::from_millis(1_500);
         let pause = Duration::from_millis(1_500);
-        // The freeze meets reads between dispatch and first byte.
+        // The freeze hits reads between dispatch and first byte.
         let result = read_phase(&fleet, &ticks, ACCEPTED, settle, || {
             fleet.group.freeze("billing-2").unwrap();
             fleet.group.freeze("billing-3").unwrap();
@@ -350,7 +352,7 @@
             std::thread::sleep(pause / 3);
         });
         report("replicas frozen for 1.5 s", &result);
-        // Only the answers are held, and arrive long after the statement ran.
+        // Only the answers are delayed, and arrive long after the statement ran.
         let result = read_phase(&fleet, &ticks, ACCEPTED, settle, || {
             fleet.links.set_frozen("billing-2", true).unwrap();
             fleet.links.set_frozen("billing-3", true).unwrap();
