--- a/crates/daemon/examples/demo.rs
+++ b/crates/daemon/examples/demo.rs
@@ -1,8 +1,8 @@
-//! Runs a proxy between stand-ins of its surroundings on the loopback interface, loads it and checks
-//! what callers were told.
+//! Runs a proxy between fakes of a platform and of databases on the loopback interface, puts it under
+//! load and checks what clients were told.
 //!
 //! A platform, a group of three databases and `cicadawickd`'s event loop run as threads of this
-//! process. Exits with 0 if every check passes and with 1 otherwise.
+//! process. The exit code is 0 if every check passes and 1 otherwise.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
@@ -17,8 +17,8 @@
 
 mod flags {
     xflags::xflags! {
-        /// Runs a platform, three databases and a proxy on the loopback interface, loads the proxy for
-        /// three seconds and checks the result.
+        /// Runs a platform, three databases and a proxy on the loopback interface, loads the proxy
+        /// for three seconds and checks the result.
         ///
         /// Exit codes: 0 if every check passes, 1 otherwise, 2 for a bad command line.
         cmd demo {
@@ -30,14 +30,14 @@
 
 const CLUSTER: &str = "billing";
 
-/// Length of each of the three loads.
-const LOAD_TIME: Duration = Duration::from_secs(1);
+/// Duration of each of the three loads.
+const LOAD_DURATION: Duration = Duration::from_secs(1);
 
-/// Accepted data age of the balance checks.
-const BALANCE_AGE: Duration = Duration::from_millis(1_000);
+/// Accepted data age of balance reads.
+const BALANCE_MAX_AGE: Duration = Duration::from_millis(1_000);
 
-/// Longest time for the proxy to find the primary.
-const START_LIMIT: Duration = Duration::from_secs(5);
+/// Time in which the proxy must start and find the primary.
+const START_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn main() -> ExitCode {
     let flags = match flags::Demo::from_env() {
@@ -57,17 +57,17 @@
 /// Runs the demo; returns whether every check passed.
 fn run(stay: bool) -> anyhow::Result<bool> {
     daemon::start_logging("error")?;
-    // Replicas apply 20 ms late, so that proofs of data age decide where a read may go.
+    // Replicas apply 20 ms late, so that data-age proofs decide which database may serve a read.
     let mut options = GroupOptions::new(CLUSTER, 3);
     options.apply_lag = Duration::from_millis(20);
     let group = DatabaseGroup::start(options.clone())?;
     let platform = FakePlatform::start(0)?;
     write_config(&group, &options, platform.address())?;
     let proxy = ProxyThread::start(platform.address())?;
-    fake::wait_until_served(proxy.addresses.caller_address, CLUSTER, START_LIMIT)?;
+    fake::wait_until_served(proxy.addresses.caller_address, CLUSTER, START_TIMEOUT)?;
 
-    let caller = proxy.addresses.caller_address;
-    println!("proxy     postgresql://vendor@{caller}/{CLUSTER}");
+    let client_address = proxy.addresses.caller_address;
+    println!("proxy     postgresql://vendor@{client_address}/{CLUSTER}");
     println!("operators http://{}/v1/dump", proxy.addresses.admin_address);
     println!("platform  http://{}", platform.address());
     for (name, address) in group.names().iter().zip(group.addresses()) {
@@ -83,13 +83,13 @@
         ("kind=meter", vec![(LoadKind::Reading, 1)]),
     ] {
         let primary = group.primary().context("the group has no primary")?;
-        let mut options = LoadOptions::new(caller, CLUSTER);
+        let mut options = LoadOptions::new(client_address, CLUSTER);
         options.user = "vendor".to_string();
         options.labels = Some(labels.to_string());
         options.connections = 8;
-        options.max_age = (labels == "kind=kiosk").then_some(BALANCE_AGE);
+        options.max_age = (labels == "kind=kiosk").then_some(BALANCE_MAX_AGE);
         options.mix = LoadMix(mix);
-        options.duration = LOAD_TIME;
+        options.duration = LOAD_DURATION;
         options.check_address = Some(group.address(&primary)?);
         let report = fake::loadgen::run(&options)?;
         checks.add(&report);
@@ -118,14 +118,14 @@
         "selectors": [
             { "name": "purchases", "matches": "kind=vendor", "rank": "urgent", "durable": true },
             { "name": "balances", "matches": "kind=kiosk", "rank": "interactive",
-              "max_age_ms": BALANCE_AGE.as_millis() as u64 },
+              "max_age_ms": BALANCE_MAX_AGE.as_millis() as u64 },
             { "name": "readings", "matches": "", "rank": "batch" },
         ],
     });
     fake::publish_configuration(platform, &fleet.to_string())
 }
 
-/// The daemon's event loop in a thread of its own.
+/// A daemon whose event loop runs on a thread of its own.
 struct ProxyThread {
     addresses: ReadyAddresses,
     handle: StopHandle,
@@ -157,11 +157,11 @@
             daemon::run(settings, options)
         });
         let (addresses, handle) =
-            receiver.recv_timeout(START_LIMIT).context("the proxy did not start")?;
+            receiver.recv_timeout(START_TIMEOUT).context("the proxy did not start")?;
         Ok(ProxyThread { addresses, handle, thread })
     }
 
-    /// Waits until a signal ended the proxy.
+    /// Waits until a signal has stopped the proxy.
     fn wait(self) -> anyhow::Result<()> {
         match self.thread.join() {
             Ok(result) => Ok(result?),
@@ -175,7 +175,7 @@
     }
 }
 
-/// Sums of what the loads checked.
+/// Sums of the loads' check results.
 #[derive(Default)]
 struct CheckTable {
     acknowledged: u64,
@@ -225,7 +225,8 @@
         ]
     }
 
-    /// A check that checked nothing fails, but for refused tokens, of which there should be none.
+    /// Returns whether all checks passed. A check without samples fails, except for refused tokens,
+    /// of which there should be none.
     fn passed(&self) -> bool {
         let checked = self.acknowledged > 0 && self.session_reads > 0 && self.age_reads > 0;
         checked && self.rows().iter().all(|(_, _, failed)| *failed == 0)
