--- a/crates/daemon/src/driver/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -106,7 +106,7 @@
         });
     }
 
-    /// Begins a graceful shutdown.
+    /// Starts a graceful shutdown.
     pub(crate) fn drain(&mut self, cx: CX![]) {
         if self.draining {
             return;
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -174,7 +174,7 @@
     fn push(&mut self, cx: CX![], bytes: Bytes, permit: ChunkPermit) {
         self.socket.push(bytes, permit);
         if !self.flush_scheduled {
-            // One write covers everything that the calls already queued on the loop push.
+            // One write for everything that the calls already queued on the loop will push.
             self.flush_scheduled = true;
             lazy!([cx], scheduled_flush());
         }
--- a/crates/daemon/tests/consistency.rs
+++ b/crates/daemon/tests/consistency.rs
@@ -326,7 +326,7 @@
         for lag in [0, 100, 300, 600, 900, 2_000, 30_000] {
             let lag = Duration::from_millis(lag);
             set_lag(&fleet, lag);
-            // Wait until the replicas have the age of the new lag.
+            // After a change of the lag, replicas keep the age of the previous lag for a while.
             let settle = ACCEPTED + Duration::from_millis(200);
             let measure = Duration::from_millis(400);
             let result =
--- a/crates/daemon/tests/ownership.rs
+++ b/crates/daemon/tests/ownership.rs
@@ -22,7 +22,7 @@
 use postgres::NoTls;
 use serde_json::Value;
 
-/// Together, the clients of all nodes need more slots than a database has.
+/// Number of clients of each node. Together they need more slots than a database has.
 const CLIENTS_PER_NODE: usize = 4;
 
 /// Outcomes that one client saw.
@@ -304,7 +304,7 @@
 }
 
 // Guards against an owner that exits before the answer of a forwarded write has reached the peer. The
-// peer acknowledges an answer's parts before it is complete, which takes a round trip on the link.
+// peer acknowledges an answer's parts before it is complete, which takes as long as the link's delay.
 #[test]
 fn a_stopping_owner_completes_the_answers_of_forwarded_writes() {
     const ONE_WAY: Duration = Duration::from_millis(150);
