--- a/crates/daemon/tests/accounting.rs
+++ b/crates/daemon/tests/accounting.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 /// Runs the operators' CLI with `--json`.
-fn ask(fleet: &TestFleet, arguments: &[&str]) -> Value {
+fn run_cli_json(fleet: &TestFleet, arguments: &[&str]) -> Value {
     let arguments: Vec<&str> = ["--json"].iter().chain(arguments).copied().collect();
     let run = run_cli(fleet.platform.address(), &arguments);
     assert_eq!(run.code, 0, "{run:?}");
@@ -79,14 +79,14 @@
         ("refused", "hurried/", 20),
         ("repeated_keys", "retrying/", 19),
     ] {
-        let top = ask(&fleet, &["top", "--node", &node, "--all", "--measure", measure]);
+        let top = run_cli_json(&fleet, &["top", "--node", &node, "--all", "--measure", measure]);
         let first = &top["rows"][0];
         assert!(first["caller"].as_str().unwrap().starts_with(user), "{measure}: {top}");
         assert!(first["count"].as_u64().unwrap() >= least, "{measure}: {top}");
     }
 
     // `--measure all` prints one table for each measure.
-    let tables = ask(&fleet, &["top", "--node", &node, "--all", "--measure", "all"]);
+    let tables = run_cli_json(&fleet, &["top", "--node", &node, "--all", "--measure", "all"]);
     let tables = tables.as_array().unwrap();
     assert_eq!(tables.len(), 6, "{tables:?}");
     let refused = tables.iter().find(|table| table["measure"] == "refused").unwrap();
@@ -94,7 +94,10 @@
 
     let explain = || {
         let cluster = cluster_name(0);
-        ask(&fleet, &["explain", "--node", &node, "--cluster", &cluster, "--user", "meters"])
+        run_cli_json(
+            &fleet,
+            &["explain", "--node", &node, "--cluster", &cluster, "--user", "meters"],
+        )
     };
     let primary = fleet.groups[0].primary().unwrap();
     let before = explain();
@@ -127,9 +130,9 @@
         assert_eq!(requests.last().unwrap()["rank"], "batch", "{explained}");
     }
 
-    let matched = ask(&fleet, &["match", "kind=reading", "--node", &node, "--all"]);
+    let matched = run_cli_json(&fleet, &["match", "kind=reading", "--node", &node, "--all"]);
     assert_eq!(matched["callers"].as_array().unwrap().len(), 1, "{matched}");
     assert_eq!(matched["sessions"].as_array().unwrap().len(), 2, "{matched}");
-    let matched = ask(&fleet, &["match", "kind=till", "--node", &node, "--all"]);
+    let matched = run_cli_json(&fleet, &["match", "kind=till", "--node", &node, "--all"]);
     assert_eq!(matched["sessions"], json!([]), "{matched}");
 }
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -288,7 +288,7 @@
         node % self.options.data_centres
     }
 
-    pub fn nodes_of(&self, centre: usize) -> Vec<usize> {
+    pub fn nodes_in(&self, centre: usize) -> Vec<usize> {
         (0..self.options.nodes).filter(|node| self.centre(*node) == centre).collect()
     }
 
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -303,7 +303,7 @@
     wait_for_deadline(&fleet, 0..5, 6_006);
     let monitor = RevisionMonitor::start(&fleet);
     fleet.set_partitioned(0, true, true);
-    let inside = fleet.nodes_of(0);
+    let inside = fleet.nodes_in(0);
     // An unreachable data centre keeps its members, but for the other side they own no database.
     let owners = |node: usize| -> Vec<String> {
         let explained = fleet.node(node).get(&format!("/v1/explain?cluster={}", cluster_name(0)));
@@ -338,7 +338,7 @@
 #[test]
 fn data_centre_without_the_platform_gets_changes_from_peers() {
     let fleet = TestFleet::start(FleetOptions::default());
-    let inside = fleet.nodes_of(0);
+    let inside = fleet.nodes_in(0);
     for node in &inside {
         fleet.links.set_cut(&link_name(*node, "platform"), true, true).unwrap();
     }
--- a/crates/daemon/tests/consistency.rs
+++ b/crates/daemon/tests/consistency.rs
@@ -217,7 +217,7 @@
 }
 
 /// Returns the number of reads that were granted a slot of the primary and of the replicas.
-fn granted(fleet: &SessionFleet) -> (u64, u64) {
+fn granted_reads(fleet: &SessionFleet) -> (u64, u64) {
     let (mut primary, mut replicas) = (0, 0);
     for proxy in &fleet.proxies {
         let dump = proxy.get("/v1/dump");
@@ -275,9 +275,9 @@
             });
         }
         std::thread::sleep(settle);
-        let before = granted(fleet);
+        let before = granted_reads(fleet);
         inject_fault();
-        let after = granted(fleet);
+        let after = granted_reads(fleet);
         let (primary, replicas) = (after.0 - before.0, after.1 - before.1);
         result.lock().unwrap().replica_share = replicas as f64 / (primary + replicas).max(1) as f64;
     });
--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -279,7 +279,7 @@
         let cut_at = Instant::now();
         fleet.set_partitioned(0, true, true);
         let opened = run.wait_for_term_above(term);
-        let inside = fleet.nodes_of(0);
+        let inside = fleet.nodes_in(0);
         let is_inside = |writer: &RowWriter| {
             inside.iter().any(|node| writer.name.starts_with(&format!("{node}-")))
         };
--- a/crates/daemon/tests/ownership.rs
+++ b/crates/daemon/tests/ownership.rs
@@ -170,8 +170,8 @@
         let reads_failed = log.read_errors.into_iter().map(|code| (code, "08006"));
         for (code, started) in writes.chain(reads_failed) {
             let session_ended = ended.contains(&node) && ["closed", "57P01"].contains(&&*code);
-            let told = code.starts_with("WK") || code == started;
-            assert!(told || session_ended, "a client of node {node} got {code}");
+            let expected_code = code.starts_with("WK") || code == started;
+            assert!(expected_code || session_ended, "a client of node {node} got {code}");
             *errors.entry(code).or_default() += 1;
         }
         reads += log.reads;
@@ -253,7 +253,7 @@
     let primary = fleet.groups[0].primary().unwrap();
     let clients = start_clients(&fleet, &[0, 1, 2, 3]);
     wait_for_writes(&clients, Instant::now());
-    let across = |cut: bool| {
+    let set_partitioned = |cut: bool| {
         for (node, other) in (0..4).flat_map(|node| (0..4).map(move |other| (node, other))) {
             if fleet.centre(node) != fleet.centre(other) {
                 let name = link_name(node, &node_name(other));
@@ -266,10 +266,10 @@
     };
     let one_owner = || owner_of(&fleet, 0, &primary) == owner_of(&fleet, 1, &primary);
     assert!(one_owner());
-    across(true);
+    set_partitioned(true);
     wait_until("each side has an owner", || !one_owner());
     wait_for_writes(&clients, Instant::now());
-    across(false);
+    set_partitioned(false);
     wait_until("one owner is left", one_owner);
     wait_for_writes(&clients, Instant::now());
     check_results(fleet, clients, &[]);
@@ -348,7 +348,7 @@
 }
 
 /// Returns the number of statements that all nodes together have granted a slot of a database.
-fn granted(fleet: &TestFleet, database: &str) -> u64 {
+fn granted_statements(fleet: &TestFleet, database: &str) -> u64 {
     let ranks = (0..fleet.options.nodes).filter_map(|node| {
         let dump = fleet.node(node).get("/v1/dump");
         let ranks = dump["databases"][database]["queue"]["granted"].as_object()?;
@@ -411,13 +411,17 @@
     let replica = fleet.groups[0].names().iter().find(|name| **name != primary).unwrap().clone();
     let clients = start_clients(&fleet, &[0, 1]);
     let readers = CatalogueReaders::start(&fleet);
-    let start = granted(&fleet, &replica);
-    wait_until("the replica serves reads", || granted(&fleet, &replica) > start + 50);
+    let start = granted_statements(&fleet, &replica);
+    wait_until("the replica serves reads", || granted_statements(&fleet, &replica) > start + 50);
     apply_leaving(&fleet, &[&primary, &replica]);
     std::thread::sleep(Duration::from_secs(3));
-    let then = [&primary, &replica].map(|name| granted(&fleet, name));
+    let then = [&primary, &replica].map(|name| granted_statements(&fleet, name));
     std::thread::sleep(Duration::from_secs(2));
-    assert_eq!([&primary, &replica].map(|name| granted(&fleet, name)), then, "new statements");
+    assert_eq!(
+        [&primary, &replica].map(|name| granted_statements(&fleet, name)),
+        then,
+        "new statements"
+    );
     wait_for_writes(&clients, Instant::now());
     readers.finish();
     check_results(fleet, clients, &[]);
--- a/crates/daemon/tests/payments.rs
+++ b/crates/daemon/tests/payments.rs
@@ -244,7 +244,7 @@
 }
 
 /// Returns the index of the proxy that owns the primary.
-fn owner(fleet: &SessionFleet) -> usize {
+fn owner_index(fleet: &SessionFleet) -> usize {
     let owns =
         |proxy: &ProxyProcess| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
     fleet.proxies.iter().position(owns).unwrap()
@@ -259,7 +259,7 @@
 #[test]
 fn purchase_survives_a_killed_entry_proxy() {
     run_with_fault(SessionFleet::start(FleetSetup::new(3)), |fleet| {
-        let at = usize::from(owner(fleet) == 0);
+        let at = usize::from(owner_index(fleet) == 0);
         kill_proxy(fleet, at);
     });
 }
@@ -267,7 +267,7 @@
 #[test]
 fn purchase_survives_a_killed_owner() {
     run_with_fault(SessionFleet::start(FleetSetup::new(3)), |fleet| {
-        let at = owner(fleet);
+        let at = owner_index(fleet);
         kill_proxy(fleet, at);
     });
 }
@@ -323,7 +323,7 @@
 #[test]
 fn outcome_without_a_key_is_correct_after_a_killed_owner() {
     check_fault_without_keys(|fleet| {
-        let at = owner(fleet);
+        let at = owner_index(fleet);
         kill_proxy(fleet, at);
     });
 }
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -215,7 +215,7 @@
 fn malformed_input_closes_only_its_connection() {
     let fleet = LocalFleet::start(1);
     let proxy = &fleet.proxies[0];
-    let mut bystander = proxy.connect();
+    let mut other_client = proxy.connect();
     let cases: [(&[u8], &str); 6] = [
         (b"Q\0\0\0\x01", "08P01"),
         (b"Q\x7f\xff\xff\xff", "54000"),
@@ -239,7 +239,7 @@
         stream.write_all(start).unwrap();
         read_message(&mut stream, b'E');
     }
-    assert_eq!(rows(&mut bystander, "SELECT 1"), Ok(vec![vec![Some("1".to_owned())]]));
+    assert_eq!(rows(&mut other_client, "SELECT 1"), Ok(vec![vec![Some("1".to_owned())]]));
     assert_eq!(code(&proxy.try_connect("missing", "").err().unwrap()), "3D000");
 }
 
--- a/crates/daemon/tests/transactions.rs
+++ b/crates/daemon/tests/transactions.rs
@@ -18,21 +18,21 @@
 use sessions::{FleetSetup, RawClient, RequestOutcome, SessionFleet, StopGuard, run};
 
 /// Starts a fleet whose primary allows few connections.
-fn start_small(proxies: usize) -> SessionFleet {
+fn start_fleet(proxies: usize) -> SessionFleet {
     let mut setup = FleetSetup::new(proxies);
     (setup.group.slots, setup.group.connections) = (2, 10);
     SessionFleet::start(setup)
 }
 
 /// Returns the index of the proxy that owns the primary.
-fn owner(fleet: &SessionFleet) -> usize {
+fn owner_index(fleet: &SessionFleet) -> usize {
     let owns =
         |proxy: &ProxyProcess| proxy.get("/v1/dump")["databases"]["billing-1"]["owned"] == true;
     fleet.proxies.iter().position(owns).unwrap()
 }
 
 /// Waits until no connection is pinned or busy at any proxy and the primary runs nothing.
-fn wait_released(fleet: &SessionFleet) {
+fn wait_until_released(fleet: &SessionFleet) {
     wait_until("connections and slots are released", || {
         let pools_free = fleet.proxies.iter().all(|proxy| {
             let dump = proxy.get("/v1/dump");
@@ -48,7 +48,7 @@
 fn interleaved_transactions_are_not_mixed() {
     const SESSIONS: usize = 24;
     const ROUNDS: usize = 10;
-    let fleet = start_small(2);
+    let fleet = start_fleet(2);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE entries (tag text, step bigint)").unwrap();
     let expected = Mutex::new(BTreeMap::new());
@@ -87,7 +87,7 @@
     let counters = fleet.group.counters("billing-1").unwrap();
     assert_eq!(counters.connections_refused, 0);
     assert!(counters.connections_highest <= 10 && counters.slots_highest <= 2, "{counters:?}");
-    wait_released(&fleet);
+    wait_until_released(&fleet);
     println!(
         "{} transactions of {SESSIONS} sessions over at most {} connections",
         expected.len(),
@@ -104,12 +104,12 @@
     client
 }
 
-fn kill_inside_transactions(kills_owner: bool) {
-    let mut fleet = start_small(3);
+fn kill_during_transactions(kills_owner: bool) {
+    let mut fleet = start_fleet(3);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE meters (id bigint, n bigint)").unwrap();
     client.batch_execute("INSERT INTO meters VALUES (1, 0), (2, 0), (3, 0)").unwrap();
-    let owner = owner(&fleet);
+    let owner = owner_index(&fleet);
     let at = if kills_owner { owner } else { (owner + 1) % 3 };
     let entry = &fleet.proxies[(owner + 1) % 3];
     let mut holders: Vec<Client> = (1..=3).map(|id| lock_row(entry, id)).collect();
@@ -125,7 +125,7 @@
             });
         }
     }
-    wait_released(&fleet);
+    wait_until_released(&fleet);
     for row in fleet.group.table("meters").unwrap().rows {
         assert_eq!(row[1].as_deref(), Some("2"), "an update of the ended transactions is left");
     }
@@ -141,17 +141,17 @@
 
 #[test]
 fn killed_entry_proxy_leaves_no_transaction_behind() {
-    kill_inside_transactions(false);
+    kill_during_transactions(false);
 }
 
 #[test]
 fn killed_owner_leaves_no_transaction_behind() {
-    kill_inside_transactions(true);
+    kill_during_transactions(true);
 }
 
 #[test]
 fn disconnected_client_releases_its_resources() {
-    let fleet = start_small(2);
+    let fleet = start_fleet(2);
     let mut client = fleet.proxies[0].connect();
     client.batch_execute("CREATE TABLE meters (id bigint, n bigint)").unwrap();
     client.batch_execute("INSERT INTO meters VALUES (1, 0)").unwrap();
@@ -168,14 +168,14 @@
         drop(leaving);
         let update = "UPDATE meters SET n = n + 1 WHERE id = 1";
         assert_eq!(run(&mut client, update), RequestOutcome::Done(1));
-        wait_released(&fleet);
+        wait_until_released(&fleet);
     }
     assert_eq!(fleet.group.table("meters").unwrap().rows[0][1].as_deref(), Some("2"));
 }
 
 #[test]
 fn cancel_ends_only_its_own_statement() {
-    let fleet = start_small(2);
+    let fleet = start_fleet(2);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let _stop = StopGuard(&stop);
@@ -242,7 +242,7 @@
 
 #[test]
 fn messages_split_at_any_byte_get_the_same_answers() {
-    let fleet = start_small(2);
+    let fleet = start_fleet(2);
     let input = numbered_requests();
     for proxy in &fleet.proxies {
         let mut answers = Vec::new();
@@ -396,7 +396,7 @@
 #[test]
 fn delayed_and_reordered_answers_reach_their_clients() {
     const REQUESTS: usize = 40;
-    let fleet = start_small(2);
+    let fleet = start_fleet(2);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let _stop = StopGuard(&stop);
