--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use gate::{
-    AnswerEnd, BackendAnswer, BackendCommand, ErrorCode, Gate, GateAction, GateEvent, LinkId,
+    AnswerEnd, BackendAnswer, BackendCommand, ConnectionId, ErrorCode, Gate, GateAction, GateEvent,
     SessionId, SessionOrigin, SessionState, TICK,
 };
 use model::{FastMap, Name};
@@ -243,19 +243,19 @@
                     self.dirty_clients.push(session.0);
                 }
             }
-            GateAction::OpenLink { link, cluster, database, address } => {
-                self.open_backend(cx, link, &cluster, &database, address);
+            GateAction::OpenConnection { connection, cluster, database, address } => {
+                self.open_backend(cx, connection, &cluster, &database, address);
             }
-            GateAction::CloseLink { link } => {
-                self.backends.remove(&link.0);
+            GateAction::CloseConnection { connection } => {
+                self.backends.remove(&connection.0);
             }
-            GateAction::Send { link, commands } => {
-                if let Some(backend) = self.backends.get_mut(&link.0) {
+            GateAction::Send { connection, commands } => {
+                if let Some(backend) = self.backends.get_mut(&connection.0) {
                     for command in &commands {
                         P::Codec::write_command(command, &mut backend.socket.output);
                         backend.unanswered.push_back(returns_report(command));
                     }
-                    self.dirty_backends.push(link.0);
+                    self.dirty_backends.push(connection.0);
                 }
             }
             GateAction::WriteDuty { attempt, expected, bytes } => {
@@ -450,12 +450,12 @@
     fn open_backend(
         &mut self,
         cx: CX![],
-        link: LinkId,
+        connection: ConnectionId,
         cluster: &Name,
         database: &Name,
         address: SocketAddr,
     ) {
-        let id = link.0;
+        let id = connection.0;
         let ready = fwd_to!([cx], backend_ready(id) as (Ready));
         let socket =
             connect(address).and_then(|stream| BufferedSocket::new(&self.poll, stream, ready));
@@ -477,14 +477,14 @@
                 log::warn!("{}", event_line("connect_failed", fields));
                 // The gate must not be re-entered while its actions are executed.
                 let lost = fwd_to!([cx], handle_event() as (GateEvent));
-                lost.fwd(GateEvent::LinkLost { link });
+                lost.fwd(GateEvent::ConnectionLost { connection });
             }
         }
     }
 
     fn drop_backend(&mut self, cx: CX![], id: u64) {
         if self.backends.remove(&id).is_some() {
-            self.advance_gate(cx, GateEvent::LinkLost { link: LinkId(id) });
+            self.advance_gate(cx, GateEvent::ConnectionLost { connection: ConnectionId(id) });
         }
     }
 
@@ -501,7 +501,7 @@
     }
 
     fn read_answers(&mut self, cx: CX![], id: u64) {
-        let link = LinkId(id);
+        let connection = ConnectionId(id);
         while let Some(backend) = self.backends.get_mut(&id) {
             let message = match P::Codec::read_backend(&mut backend.socket.input) {
                 Ok(Some(message)) => message,
@@ -524,14 +524,14 @@
                 }
                 BackendMessage::Error { code, .. } if !backend.opened => {
                     self.backends.remove(&id);
-                    self.advance_gate(cx, GateEvent::LinkRefused { link, code });
+                    self.advance_gate(cx, GateEvent::ConnectionRefused { connection, code });
                 }
                 BackendMessage::Error { code, text } => {
                     backend.answer_end = Some(AnswerEnd::Failed { code, text });
                 }
                 BackendMessage::Ready { point, .. } if !backend.opened => {
                     backend.opened = true;
-                    self.advance_gate(cx, GateEvent::LinkOpened { link, point });
+                    self.advance_gate(cx, GateEvent::ConnectionOpened { connection, point });
                 }
                 BackendMessage::Ready { state, point } => {
                     let (Some(end), Some(reports)) =
@@ -543,7 +543,7 @@
                     let rows = std::mem::take(&mut backend.rows);
                     let report = if reports { P::Codec::read_report(&rows) } else { None };
                     let answer = Box::new(BackendAnswer { rows, end, state, point, report });
-                    self.advance_gate(cx, GateEvent::LinkAnswered { link, answer });
+                    self.advance_gate(cx, GateEvent::ConnectionAnswered { connection, answer });
                 }
             }
         }
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -6,7 +6,7 @@
 use model::Name;
 
 use crate::backend::{BackendCommand, LogPoint};
-use crate::event::{LinkId, NodeRole, SessionId};
+use crate::event::{ConnectionId, NodeRole, SessionId};
 use crate::statement::{ErrorCode, SessionState};
 
 /// Answer to a client's request.
@@ -49,18 +49,18 @@
     },
 
     // Connections to databases.
-    OpenLink {
-        link: LinkId,
+    OpenConnection {
+        connection: ConnectionId,
         cluster: Name,
         database: Name,
         address: SocketAddr,
     },
-    CloseLink {
-        link: LinkId,
+    CloseConnection {
+        connection: ConnectionId,
     },
     /// Send commands; they are answered in order.
     Send {
-        link: LinkId,
+        connection: ConnectionId,
         commands: Vec<BackendCommand>,
     },
 
--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -4,7 +4,7 @@
 
 use crate::backend::{BackendAnswer, BackendCommand};
 use crate::database::{CommandPurpose, Database};
-use crate::event::{LinkId, ListedDatabase};
+use crate::event::{ConnectionId, ListedDatabase};
 use crate::leadership_proof::LeadershipProof;
 use crate::request::{RequestStage, WorkId};
 use crate::{Gate, fields};
@@ -265,7 +265,7 @@
     /// Processes a database's report.
     pub(crate) fn report_answered(
         &mut self,
-        connection: LinkId,
+        connection: ConnectionId,
         asked: Micros,
         answer: &BackendAnswer,
     ) {
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -6,7 +6,7 @@
 use crate::backend::{AnswerEnd, BackendAnswer, BackendCommand, LogPoint};
 use crate::cluster::LEAVING_GRACE;
 use crate::database::{BackendConnection, CommandPurpose, PendingCommand, steady_share};
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::request::WorkId;
 use crate::statement::{ErrorCode, SessionState};
 use crate::{Gate, fields};
@@ -87,7 +87,7 @@
 
     pub(crate) fn open_connection(&mut self, name: &Name) {
         let now = self.now;
-        let connection = LinkId(self.next_id());
+        let connection = ConnectionId(self.next_id());
         let Some(database) = self.databases.get_mut(name) else { return };
         database.connections.push(connection);
         database.opening += 1;
@@ -95,8 +95,8 @@
         let (cluster, address) = (database.listed.cluster.clone(), database.listed.address);
         self.connections
             .insert(connection, BackendConnection::new(name.clone(), cluster.clone(), now));
-        self.out.push(GateAction::OpenLink {
-            link: connection,
+        self.out.push(GateAction::OpenConnection {
+            connection,
             cluster,
             database: name.clone(),
             address,
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(crate) fn connection_opened(&mut self, connection: LinkId, point: Option<LogPoint>) {
+    pub(crate) fn connection_opened(&mut self, connection: ConnectionId, point: Option<LogPoint>) {
         let now = self.now;
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.open {
@@ -145,7 +145,7 @@
         self.dispatch_queued(&name);
     }
 
-    pub(crate) fn connection_refused(&mut self, connection: LinkId, code: ErrorCode) {
+    pub(crate) fn connection_refused(&mut self, connection: ConnectionId, code: ErrorCode) {
         let now = self.now;
         let Some(state) = self.connections.get(&connection) else { return };
         let name = state.database.clone();
@@ -163,7 +163,7 @@
         self.reroute_if_unconnected(&name);
     }
 
-    pub(crate) fn connection_lost(&mut self, connection: LinkId) {
+    pub(crate) fn connection_lost(&mut self, connection: ConnectionId) {
         let now = self.now;
         let Some(state) = self.connections.get(&connection) else { return };
         let name = state.database.clone();
@@ -189,17 +189,17 @@
     }
 
     /// Closes a connection and ends the requests on it.
-    pub(crate) fn close_connection(&mut self, connection: LinkId, reason: &'static str) {
+    pub(crate) fn close_connection(&mut self, connection: ConnectionId, reason: &'static str) {
         if !self.connections.contains_key(&connection) {
             return;
         }
-        self.out.push(GateAction::CloseLink { link: connection });
+        self.out.push(GateAction::CloseConnection { connection });
         self.count("links_closed");
         self.log("link_closed", fields!["link" => connection.0, "reason" => reason]);
         self.remove_connection(connection);
     }
 
-    fn remove_connection(&mut self, connection: LinkId) {
+    fn remove_connection(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.remove(&connection) else { return };
         if let Some(database) = self.databases.get_mut(&state.database) {
             database.connections.retain(|other| *other != connection);
@@ -240,7 +240,7 @@
     /// Sends commands on a connection and records their purpose.
     pub(crate) fn send(
         &mut self,
-        connection: LinkId,
+        connection: ConnectionId,
         commands: Vec<BackendCommand>,
         purpose: CommandPurpose,
     ) {
@@ -256,7 +256,7 @@
         if let Some(database) = self.databases.get_mut(&state.database) {
             database.record_attempt(now);
         }
-        self.out.push(GateAction::Send { link: connection, commands });
+        self.out.push(GateAction::Send { connection, commands });
     }
 
     /// Records that a database answered.
@@ -273,7 +273,7 @@
         database.attempt_unanswered_since = waiting.then_some(now);
     }
 
-    pub(crate) fn connection_answered(&mut self, connection: LinkId, answer: BackendAnswer) {
+    pub(crate) fn connection_answered(&mut self, connection: ConnectionId, answer: BackendAnswer) {
         let now = self.now;
         let Some(state) = self.connections.get_mut(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
@@ -334,7 +334,7 @@
 
     /// Handles an answer whose request was given up. A transaction that it left open is rolled
     /// back.
-    fn abandoned_statement_answered(&mut self, connection: LinkId, answer: &BackendAnswer) {
+    fn abandoned_statement_answered(&mut self, connection: ConnectionId, answer: &BackendAnswer) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.transaction_session = None;
         if answer.state != SessionState::Idle && state.pending.is_empty() {
@@ -343,7 +343,7 @@
     }
 
     /// Makes a connection available to other requests once nothing is in flight on it.
-    fn release_connection(&mut self, connection: LinkId) {
+    fn release_connection(&mut self, connection: ConnectionId) {
         let Some(state) = self.connections.get(&connection) else { return };
         if !state.pending.is_empty() || state.transaction_session.is_some() {
             return;
@@ -365,7 +365,7 @@
     }
 
     /// Returns an open connection for a command that does not belong to a client.
-    pub(crate) fn control_connection(&mut self, name: &Name) -> Option<LinkId> {
+    pub(crate) fn control_connection(&mut self, name: &Name) -> Option<ConnectionId> {
         let database = self.databases.get_mut(name)?;
         if let Some(connection) = database.idle.pop() {
             return Some(connection);
@@ -384,7 +384,7 @@
     pub(crate) fn maintain_connections(&mut self) {
         let now = self.now;
         let mut unresponsive = Vec::new();
-        let mut surplus: Vec<(Name, LinkId, Micros)> = Vec::new();
+        let mut surplus: Vec<(Name, ConnectionId, Micros)> = Vec::new();
         for (id, connection) in &self.connections {
             if !connection.open {
                 if now >= connection.opened_at + OPEN_TIMEOUT {
@@ -421,7 +421,7 @@
             }
         }
         for connection in unresponsive {
-            self.out.push(GateAction::CloseLink { link: connection });
+            self.out.push(GateAction::CloseConnection { connection });
             self.connection_lost(connection);
         }
         for (name, connection, used) in surplus {
@@ -451,7 +451,7 @@
         }
     }
 
-    fn is_awaited(&self, request: WorkId, connection: LinkId) -> bool {
+    fn is_awaited(&self, request: WorkId, connection: ConnectionId) -> bool {
         self.requests.get(&request).is_some_and(|request| request.connection == Some(connection))
     }
 }
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -6,7 +6,7 @@
 use model::{FastMap, Micros, Name, RankConfig, RankMap};
 
 use crate::backend::{BackendCommand, DatabaseReport, LogPoint};
-use crate::event::{LinkId, ListedDatabase, SessionId};
+use crate::event::{ConnectionId, ListedDatabase, SessionId};
 use crate::request::WorkId;
 use crate::route::RouteConfig;
 use crate::statement::StatementAccess;
@@ -106,8 +106,8 @@
     /// Requests that this node sends concurrently.
     slots: u32,
     /// Open connections and those being opened.
-    pub(crate) connections: Vec<LinkId>,
-    pub(crate) idle: Vec<LinkId>,
+    pub(crate) connections: Vec<ConnectionId>,
+    pub(crate) idle: Vec<ConnectionId>,
     pub(crate) opening: u32,
     pub(crate) report: Option<DatabaseReport>,
     pub(crate) last_report_at: Option<Micros>,
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::Gate;
 use crate::backend::BackendCommand;
 use crate::database::CommandPurpose;
-use crate::event::{LinkId, SessionId};
+use crate::event::{ConnectionId, SessionId};
 use crate::request::{RequestKind, RequestStage, WorkId};
 use crate::session::Transaction;
 use crate::statement::{ErrorCode, Statement};
@@ -60,7 +60,7 @@
     }
 
     /// Sends a request on an idle connection.
-    pub(crate) fn dispatch_request(&mut self, id: WorkId, connection: LinkId) {
+    pub(crate) fn dispatch_request(&mut self, id: WorkId, connection: ConnectionId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.connection = Some(connection);
@@ -88,7 +88,7 @@
     pub(crate) fn setup_commands(
         &mut self,
         session: SessionId,
-        connection: LinkId,
+        connection: ConnectionId,
     ) -> Option<Vec<BackendCommand>> {
         let session = self.sessions.get(&session)?;
         Some(self.connections.get_mut(&connection)?.adopt_values(&session.values))
@@ -99,7 +99,7 @@
     pub(crate) fn send_statement(
         &mut self,
         id: WorkId,
-        connection: LinkId,
+        connection: ConnectionId,
         outside_transaction: bool,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -22,7 +22,7 @@
 
 /// Identifier of a connection to a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// A backend server as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -116,20 +116,20 @@
     },
 
     // Connections to databases.
-    LinkOpened {
-        link: LinkId,
+    ConnectionOpened {
+        connection: ConnectionId,
         point: Option<LogPoint>,
     },
     /// The database refused the connection.
-    LinkRefused {
-        link: LinkId,
+    ConnectionRefused {
+        connection: ConnectionId,
         code: ErrorCode,
     },
-    LinkLost {
-        link: LinkId,
+    ConnectionLost {
+        connection: ConnectionId,
     },
-    LinkAnswered {
-        link: LinkId,
+    ConnectionAnswered {
+        connection: ConnectionId,
         answer: Box<BackendAnswer>,
     },
 
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -4,7 +4,7 @@
 
 use crate::backend::{BackendAnswer, BackendCommand, LogPoint};
 use crate::database::CommandPurpose;
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::failover::{FailoverStage, STEP_RETRY_INTERVAL};
 use crate::{Gate, fields};
 
@@ -35,7 +35,7 @@
     }
 
     /// Processes the report that answers a demotion.
-    pub(crate) fn demote_answered(&mut self, connection: LinkId, answer: &BackendAnswer) {
+    pub(crate) fn demote_answered(&mut self, connection: ConnectionId, answer: &BackendAnswer) {
         let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let position = answer.report.map(|report| report.received.to_string());
@@ -149,7 +149,7 @@
     /// Processes the report that answers a fence.
     pub(crate) fn fence_answered(
         &mut self,
-        connection: LinkId,
+        connection: ConnectionId,
         sent: Micros,
         answer: &BackendAnswer,
     ) {
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -51,8 +51,8 @@
 pub use action::{ClientReply, GateAction, LogRecord, LogValue};
 pub use backend::{AnswerEnd, BackendAnswer, BackendCommand, DatabaseReport, LogPoint};
 pub use event::{
-    Document, GateEvent, LinkId, ListedDatabase, NodeRole, PromoteResult, SessionId, SessionOrigin,
-    StoreState, StoredDocument, WriteResult, rank_of_priority,
+    ConnectionId, Document, GateEvent, ListedDatabase, NodeRole, PromoteResult, SessionId,
+    SessionOrigin, StoreState, StoredDocument, WriteResult, rank_of_priority,
 };
 pub use fleet::FleetRecord;
 pub use leadership_proof::LeadershipProof;
@@ -108,7 +108,7 @@
     backing_off: Vec<WorkId>,
     clusters: FastMap<Name, ClusterState>,
     databases: FastMap<Name, Database>,
-    connections: FastMap<LinkId, BackendConnection>,
+    connections: FastMap<ConnectionId, BackendConnection>,
     registry: NodeRegistry,
     promotion_lease: PromotionLease,
     registration: RegistrationState,
@@ -185,10 +185,16 @@
                 self.request_arrived(session, request);
             }
             GateEvent::SessionClosed { session } => self.close_session(session),
-            GateEvent::LinkOpened { link, point } => self.connection_opened(link, point),
-            GateEvent::LinkRefused { link, code } => self.connection_refused(link, code),
-            GateEvent::LinkLost { link } => self.connection_lost(link),
-            GateEvent::LinkAnswered { link, answer } => self.connection_answered(link, *answer),
+            GateEvent::ConnectionOpened { connection, point } => {
+                self.connection_opened(connection, point)
+            }
+            GateEvent::ConnectionRefused { connection, code } => {
+                self.connection_refused(connection, code)
+            }
+            GateEvent::ConnectionLost { connection } => self.connection_lost(connection),
+            GateEvent::ConnectionAnswered { connection, answer } => {
+                self.connection_answered(connection, *answer)
+            }
             GateEvent::RoutesChanged(table) => self.routes_changed(*table),
             GateEvent::DatabasesListed(list) => self.databases_listed(list),
             GateEvent::DatabaseChanged(listed) => self.database_listed(listed),
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -8,7 +8,7 @@
 
 use crate::action::{ClientReply, GateAction};
 use crate::backend::{AnswerEnd, BackendAnswer, LogPoint};
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::request::{
     ActiveRequest, MAX_TRIES, OVERLOADED_TEXT, RequestKind, RequestStage, WorkId,
 };
@@ -93,7 +93,7 @@
     pub(crate) fn begin_answered(
         &mut self,
         id: WorkId,
-        connection: LinkId,
+        connection: ConnectionId,
         answer: &BackendAnswer,
     ) {
         let Some(request) = self.requests.get(&id) else { return };
@@ -170,7 +170,7 @@
     pub(crate) fn statement_answered(
         &mut self,
         id: WorkId,
-        connection: LinkId,
+        connection: ConnectionId,
         answer: BackendAnswer,
     ) {
         let Some(request) = self.requests.get(&id) else { return };
@@ -209,7 +209,7 @@
     }
 
     /// Makes a transaction pending again if none of its statements has run.
-    pub(crate) fn restore_pending_transaction(&mut self, id: WorkId, connection: LinkId) {
+    pub(crate) fn restore_pending_transaction(&mut self, id: WorkId, connection: ConnectionId) {
         let Some(request) = self.requests.get(&id) else { return };
         let RequestKind::Begin { begin, read_only } = request.kind.clone() else { return };
         let (session_id, started_at, route) =
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -10,7 +10,7 @@
 
 use crate::Gate;
 use crate::backend::LogPoint;
-use crate::event::{LinkId, SessionId};
+use crate::event::{ConnectionId, SessionId};
 use crate::route::{Freshness, RouteConfig};
 use crate::session::coverage_time;
 use crate::statement::{ClientRequest, ErrorCode, Statement, StatementAccess};
@@ -82,7 +82,7 @@
     pub(crate) deadline: Micros,
     pub(crate) stage: RequestStage,
     pub(crate) database: Option<Name>,
-    pub(crate) connection: Option<LinkId>,
+    pub(crate) connection: Option<ConnectionId>,
     pub(crate) after: Option<LogPoint>,
     /// The leader must be proved for this time.
     pub(crate) proof_time: Option<Micros>,
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -13,7 +13,7 @@
 use crate::action::{ClientReply, GateAction};
 use crate::backend::{BackendCommand, LogPoint};
 use crate::database::CommandPurpose;
-use crate::event::{LinkId, SessionId, SessionOrigin};
+use crate::event::{ConnectionId, SessionId, SessionOrigin};
 use crate::request::{RequestKind, WorkId};
 use crate::route::{Freshness, RouteConfig};
 use crate::statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
@@ -40,7 +40,7 @@
 /// A transaction that is open at a database.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenTransaction {
-    pub(crate) connection: LinkId,
+    pub(crate) connection: ConnectionId,
     pub(crate) route: Arc<RouteConfig>,
     pub(crate) wrote: bool,
     /// When the last statement ended.
@@ -127,7 +127,7 @@
 
     /// Rolls back the session's open transaction and releases its connection. A connection with a
     /// statement in flight is closed, which also rolls back.
-    pub(crate) fn release_transaction(&mut self, connection: LinkId, session: SessionId) {
+    pub(crate) fn release_transaction(&mut self, connection: ConnectionId, session: SessionId) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.transaction_session != Some(session) {
             return;
--- a/crates/gate/tests/forwarding.rs
+++ b/crates/gate/tests/forwarding.rs
@@ -60,8 +60,8 @@
 /// Sends a read to an owner, which accepts the connection and never answers; returns the owner.
 fn send_read(forwarding_gate: &mut SingleGate) -> Name {
     forwarding_gate.read(1, BOUNDED);
-    let (link, owner) = forwarding_gate.take_opened().remove(0);
-    forwarding_gate.event(GateEvent::LinkOpened { link, point: None });
+    let (connection, owner) = forwarding_gate.take_opened().remove(0);
+    forwarding_gate.event(GateEvent::ConnectionOpened { connection, point: None });
     owner
 }
 
@@ -74,9 +74,9 @@
     let owner = send_read(&mut forwarding_gate);
     for _ in 0..3 {
         forwarding_gate.run(millis(220));
-        for (link, database) in forwarding_gate.take_opened() {
+        for (connection, database) in forwarding_gate.take_opened() {
             assert_eq!(database, owner, "only probes");
-            forwarding_gate.event(GateEvent::LinkOpened { link, point: None });
+            forwarding_gate.event(GateEvent::ConnectionOpened { connection, point: None });
         }
     }
 }
@@ -103,8 +103,8 @@
     let probes = forwarding_gate.take_opened();
     forwarding_gate.run(millis(80));
     assert_ne!(forwarding_gate.take_opened()[0].1, owner, "the read is sent to another owner");
-    for (link, _) in probes {
-        forwarding_gate.event(GateEvent::LinkOpened { link, point: None });
+    for (connection, _) in probes {
+        forwarding_gate.event(GateEvent::ConnectionOpened { connection, point: None });
     }
     forwarding_gate.run(millis(20));
     forwarding_gate.take_opened();
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -59,8 +59,8 @@
 #[derive(Clone, Debug)]
 enum Delivery {
     Gate(usize, GateEvent),
-    Command { gate: usize, link: LinkId, database: Name, command: BackendCommand },
-    Answer { gate: usize, link: LinkId, database: Name, answer: Box<BackendAnswer> },
+    Command { gate: usize, connection: ConnectionId, database: Name, command: BackendCommand },
+    Answer { gate: usize, connection: ConnectionId, database: Name, answer: Box<BackendAnswer> },
     Promoted { database: Name },
 }
 
@@ -102,7 +102,7 @@
     pub closed: BTreeSet<SessionId>,
     /// Databases without an entry in the list.
     pub hidden: BTreeSet<Name>,
-    connections: BTreeMap<(usize, LinkId), Name>,
+    connections: BTreeMap<(usize, ConnectionId), Name>,
     documents: BTreeMap<String, StoredDocument>,
     revision: u64,
     queue: BinaryHeap<Reverse<ScheduledDelivery>>,
@@ -322,29 +322,31 @@
 
     fn execute_action(&mut self, gate: usize, action: GateAction) {
         match action {
-            GateAction::OpenLink { link, database, .. } => {
-                self.connections.insert((gate, link), database.clone());
+            GateAction::OpenConnection { connection, database, .. } => {
+                self.connections.insert((gate, connection), database.clone());
                 let Some(state) = self.databases.get(&database) else { return };
                 if self.cuts.contains(&(gate, database)) || state.unreachable {
                     return;
                 }
                 let event = if state.connections_refused {
-                    GateEvent::LinkRefused { link, code: ErrorCode::TooManyConnections }
+                    GateEvent::ConnectionRefused { connection, code: ErrorCode::TooManyConnections }
                 } else {
-                    GateEvent::LinkOpened { link, point: Some(state.received) }
+                    GateEvent::ConnectionOpened { connection, point: Some(state.received) }
                 };
                 self.schedule(Micros::from_millis(14), Delivery::Gate(gate, event));
             }
-            GateAction::CloseLink { link } => {
-                self.connections.remove(&(gate, link));
+            GateAction::CloseConnection { connection } => {
+                self.connections.remove(&(gate, connection));
             }
-            GateAction::Send { link, commands } => {
-                let Some(database) = self.connections.get(&(gate, link)).cloned() else { return };
+            GateAction::Send { connection, commands } => {
+                let Some(database) = self.connections.get(&(gate, connection)).cloned() else {
+                    return;
+                };
                 for command in commands {
                     let database = database.clone();
                     self.schedule(
                         NETWORK_DELAY,
-                        Delivery::Command { gate, link, database, command },
+                        Delivery::Command { gate, connection, database, command },
                     );
                 }
             }
@@ -434,7 +436,7 @@
                 }
             }
             Delivery::Promoted { database } => self.promoted(&database),
-            Delivery::Command { gate, link, database, command } => {
+            Delivery::Command { gate, connection, database, command } => {
                 let state = &self.databases[&database];
                 if self.cuts.contains(&(gate, database.clone())) || state.unreachable || state.hung
                 {
@@ -457,16 +459,16 @@
                         state.slot_free = end;
                     }
                     let answer = Box::new(answer);
-                    let delivery = Delivery::Answer { gate, link, database, answer };
+                    let delivery = Delivery::Answer { gate, connection, database, answer };
                     self.schedule(end.saturating_sub(now) + NETWORK_DELAY, delivery);
                 }
             }
-            Delivery::Answer { gate, link, database, answer } => {
+            Delivery::Answer { gate, connection, database, answer } => {
                 let lost = self.cuts.contains(&(gate, database.clone()))
                     || self.databases[&database].unreachable
-                    || !self.connections.contains_key(&(gate, link));
+                    || !self.connections.contains_key(&(gate, connection));
                 if !lost {
-                    self.event(gate, GateEvent::LinkAnswered { link, answer });
+                    self.event(gate, GateEvent::ConnectionAnswered { connection, answer });
                 }
             }
         }
--- a/crates/gate/tests/support/single_gate.rs
+++ b/crates/gate/tests/support/single_gate.rs
@@ -90,10 +90,10 @@
     }
 
     /// Returns the connections that were opened since the last call; other actions are discarded.
-    pub fn take_opened(&mut self) -> Vec<(LinkId, Name)> {
+    pub fn take_opened(&mut self) -> Vec<(ConnectionId, Name)> {
         let actions = std::mem::take(&mut self.actions).into_iter();
         let opened = actions.filter_map(|action| match action {
-            GateAction::OpenLink { link, database, .. } => Some((link, database)),
+            GateAction::OpenConnection { connection, database, .. } => Some((connection, database)),
             _ => None,
         });
         opened.collect()
