--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -497,9 +497,9 @@
                 if !std::mem::take(&mut unpublished) {
                     events.send(match update.role {
                         NodeRole::Owner => {
-                            GateEvent::PermitRenewed { sent, registration: update.number }
+                            GateEvent::ReadLeaseRenewed { sent, registration: update.number }
                         }
-                        NodeRole::Standby => GateEvent::ContactRenewed { sent },
+                        NodeRole::Standby => GateEvent::StoreContactRenewed { sent },
                     });
                 }
             }
@@ -508,7 +508,7 @@
                 if error == StoreError::LeaseEnded {
                     stored = None;
                     unpublished = true;
-                    events.send(GateEvent::PermitLost);
+                    events.send(GateEvent::ReadLeaseLost);
                 }
             }
         }
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -162,16 +162,16 @@
     },
     /// This node's registration with this number, as an owner, is stored, and its lease was renewed
     /// by a call sent at `sent`.
-    PermitRenewed {
+    ReadLeaseRenewed {
         sent: Micros,
         registration: u64,
     },
-    /// As `PermitRenewed`, for its registration as a standby.
-    ContactRenewed {
+    /// As `ReadLeaseRenewed`, for its registration as a standby.
+    StoreContactRenewed {
         sent: Micros,
     },
     /// The lease is gone; the next renewal acquires a new one.
-    PermitLost,
+    ReadLeaseLost,
     PromoteAnswered {
         cluster: Name,
         result: PromoteResult,
--- a/crates/gate/tests/large_deployment.rs
+++ b/crates/gate/tests/large_deployment.rs
@@ -156,7 +156,7 @@
         entry.stored()
     };
     let mut node = start((1..NODES).map(with_more_capacity).collect());
-    node.event(GateEvent::ContactRenewed { sent: millis(0) });
+    node.event(GateEvent::StoreContactRenewed { sent: millis(0) });
     node.run(millis(40));
     assert_eq!(node.last_readiness(), Some(true), "reaches the store and owners");
     // Neither the first owner answers, nor the owner to which the request is then sent.
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -301,9 +301,9 @@
                     let sent = self.now;
                     let event = match self.registered[gate] {
                         (NodeRole::Owner, registration) => {
-                            GateEvent::PermitRenewed { sent, registration }
+                            GateEvent::ReadLeaseRenewed { sent, registration }
                         }
-                        (NodeRole::Standby, _) => GateEvent::ContactRenewed { sent },
+                        (NodeRole::Standby, _) => GateEvent::StoreContactRenewed { sent },
                     };
                     self.event(gate, event);
                 }
