--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -258,7 +258,7 @@
                     self.dirty_backends.push(connection.0);
                 }
             }
-            GateAction::WriteDuty { attempt, expected, bytes } => {
+            GateAction::WritePromotionLease { attempt, expected, bytes } => {
                 self.store.write_promotion_lease(attempt, expected, bytes);
             }
             GateAction::PublishNode { role, registration, bytes } => {
@@ -267,8 +267,8 @@
             GateAction::WriteFleet { bytes } => self.store.write_node_count(bytes),
             GateAction::ReadState => self.store.read_state(),
             GateAction::EndLease { node, lease } => self.store.end_lease(node, lease),
-            GateAction::Promote { cluster, database, holder, number } => {
-                self.store.promote(cluster, database, holder, number);
+            GateAction::Promote { cluster, database, holder, fencing_token } => {
+                self.store.promote(cluster, database, holder, fencing_token);
             }
             GateAction::SetReady(ready) => self.status.set_ready(ready),
             GateAction::ShutdownComplete => {
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -67,7 +67,7 @@
     // The platform.
     /// Write the promotion lease document if its revision is still `expected`; 0 means that it must
     /// not exist.
-    WriteDuty {
+    WritePromotionLease {
         attempt: u64,
         expected: u64,
         bytes: Vec<u8>,
@@ -94,7 +94,7 @@
         cluster: Name,
         database: Name,
         holder: Name,
-        number: u64,
+        fencing_token: u64,
     },
 
     // The process.
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Document {
     /// The promotion lease.
-    Duty,
+    PromotionLease,
     /// Number of nodes of a large deployment.
     Fleet,
     /// Registration of a node in a role.
@@ -146,7 +146,7 @@
     DocumentsListed(Vec<StoredDocument>),
     DocumentChanged(StoredDocument),
     DocumentRemoved(Document),
-    DutyWritten {
+    PromotionLeaseWritten {
         attempt: u64,
         result: WriteResult,
     },
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -190,7 +190,7 @@
             None
         };
         if let Some(write) = write {
-            self.out.push(GateAction::WriteDuty {
+            self.out.push(GateAction::WritePromotionLease {
                 attempt: write.attempt,
                 expected: write.expected,
                 bytes: write.bytes,
@@ -455,7 +455,7 @@
             cluster: cluster.clone(),
             database,
             holder: self.settings.node.clone(),
-            number: token,
+            fencing_token: token,
         });
     }
 
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -202,13 +202,13 @@
             GateEvent::DocumentsListed(documents) => self.documents_listed(documents),
             GateEvent::DocumentChanged(stored) => self.document_changed(stored),
             GateEvent::DocumentRemoved(document) => match document {
-                Document::Duty | Document::Fleet => {}
+                Document::PromotionLease | Document::Fleet => {}
                 Document::Node(role, name) => {
                     self.registry.remove(self.now, role, &name);
                     self.update_owners();
                 }
             },
-            GateEvent::DutyWritten { attempt, result } => {
+            GateEvent::PromotionLeaseWritten { attempt, result } => {
                 self.promotion_lease_written(attempt, result)
             }
             GateEvent::StateRead { state } => self.state_read(state),
@@ -261,11 +261,11 @@
             .iter()
             .filter_map(|stored| match &stored.document {
                 Document::Node(role, name) => Some((*role, name.clone())),
-                Document::Duty | Document::Fleet => None,
+                Document::PromotionLease | Document::Fleet => None,
             })
             .collect();
         self.registry.retain(self.now, &nodes);
-        if !documents.iter().any(|stored| stored.document == Document::Duty) {
+        if !documents.iter().any(|stored| stored.document == Document::PromotionLease) {
             self.promotion_lease.observe(self.now, None);
         }
         for stored in documents {
@@ -275,7 +275,7 @@
     }
 
     fn document_changed(&mut self, stored: StoredDocument) {
-        let counts_nodes = stored.document != Document::Duty;
+        let counts_nodes = stored.document != Document::PromotionLease;
         self.apply_document(stored);
         if counts_nodes {
             self.update_owners();
@@ -284,7 +284,7 @@
 
     fn apply_document(&mut self, stored: StoredDocument) {
         match stored.document {
-            Document::Duty => {
+            Document::PromotionLease => {
                 if !self.promotion_lease.observe(self.now, Some((stored.revision, &stored.bytes))) {
                     self.log("document_unreadable", fields!["document" => "duty"]);
                 }
--- a/crates/gate/tests/leadership.rs
+++ b/crates/gate/tests/leadership.rs
@@ -89,9 +89,9 @@
     simulation.database("a").unreachable = true;
     let unreachable = simulation.now;
     run_with_load(&mut simulation, millis(2_500));
-    let (at, _, number) = simulation.promotions[0].clone();
+    let (at, _, token) = simulation.promotions[0].clone();
     assert_eq!(simulation.promotions.len(), 1);
-    assert_eq!(number, 1);
+    assert_eq!(token, 1);
     assert!(at < unreachable + millis(1_500), "promoted {} after the failure", at - unreachable);
     let session = simulation.open(1, LATEST);
     simulation.send_request(1, session, "w", "WRITE 1 x");
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -117,7 +117,7 @@
 
 fn document_key(document: &Document) -> String {
     match document {
-        Document::Duty => "duty".to_string(),
+        Document::PromotionLease => "duty".to_string(),
         Document::Fleet => "fleet".to_string(),
         Document::Node(NodeRole::Owner, name) => format!("nodes/{name}"),
         Document::Node(NodeRole::Standby, name) => format!("standbys/{name}"),
@@ -356,18 +356,18 @@
             GateAction::CloseSession { session } => {
                 self.closed.insert(session);
             }
-            GateAction::WriteDuty { attempt, expected, bytes } => {
+            GateAction::WritePromotionLease { attempt, expected, bytes } => {
                 if self.store_cut.contains(&gate) {
                     return;
                 }
                 let current = self.documents.get("duty").map_or(0, |stored| stored.revision);
                 let result = if current == expected {
-                    let revision = self.store(Document::Duty, bytes);
+                    let revision = self.store(Document::PromotionLease, bytes);
                     WriteResult::Written { revision }
                 } else {
                     WriteResult::Conflict
                 };
-                let event = GateEvent::DutyWritten { attempt, result };
+                let event = GateEvent::PromotionLeaseWritten { attempt, result };
                 self.schedule(Micros::from_millis(5), Delivery::Gate(gate, event));
             }
             GateAction::PublishNode { role, registration, bytes } => {
@@ -397,8 +397,8 @@
                 let event = GateEvent::LeaseEnded { node, ended: true };
                 self.schedule(Micros::from_millis(5), Delivery::Gate(gate, event));
             }
-            GateAction::Promote { cluster, database, number, .. } => {
-                self.promotions.push((self.now, database.clone(), number));
+            GateAction::Promote { cluster, database, fencing_token, .. } => {
+                self.promotions.push((self.now, database.clone(), fencing_token));
                 self.schedule(PROMOTION_DELAY, Delivery::Promoted { database });
                 let event = GateEvent::PromoteAnswered { cluster, result: PromoteResult::Accepted };
                 self.schedule(Micros::from_millis(5), Delivery::Gate(gate, event));
