--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -264,7 +264,7 @@
             GateAction::PublishNode { role, registration, bytes } => {
                 self.store.publish_registration(role, registration, bytes);
             }
-            GateAction::WriteFleet { bytes } => self.store.write_node_count(bytes),
+            GateAction::WriteNodeCount { bytes } => self.store.write_node_count(bytes),
             GateAction::ReadState => self.store.read_state(),
             GateAction::EndLease { node, lease } => self.store.end_lease(node, lease),
             GateAction::Promote { cluster, database, holder, fencing_token } => {
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -339,7 +339,7 @@
                 StoreChange::DocumentRemoved(Document::Node(_, node)) => {
                     self.registered_nodes.remove(node);
                 }
-                StoreChange::DocumentRemoved(Document::PromotionLease | Document::Fleet)
+                StoreChange::DocumentRemoved(Document::PromotionLease | Document::NodeCount)
                 | StoreChange::DatabaseRemoved(_) => {}
             }
             report_change(change, self.events);
@@ -404,7 +404,7 @@
     match change {
         StoreChange::Set(item) => registered_node(item).is_some(),
         StoreChange::DocumentRemoved(Document::Node(..)) => true,
-        StoreChange::DocumentRemoved(Document::PromotionLease | Document::Fleet)
+        StoreChange::DocumentRemoved(Document::PromotionLease | Document::NodeCount)
         | StoreChange::DatabaseRemoved(_) => false,
     }
 }
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -80,7 +80,7 @@
         bytes: Vec<u8>,
     },
     /// Store the number of nodes.
-    WriteFleet {
+    WriteNodeCount {
         bytes: Vec<u8>,
     },
     /// Read the current lists of databases and documents.
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -44,7 +44,7 @@
     /// The promotion lease.
     PromotionLease,
     /// Number of nodes of a large deployment.
-    Fleet,
+    NodeCount,
     /// Registration of a node in a role.
     Node(NodeRole, Name),
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -12,7 +12,7 @@
 //! - `owners`, `peer`: forwarding
 //! - `connection`, `database`: connections
 //! - `cluster`, `leadership_proof`, `read_lease`: what is known about primaries
-//! - `registration`, `registry`, `fleet`: the nodes
+//! - `registration`, `registry`, `node_count`: the nodes
 //! - `suspicion`, `failover`, `fencing`, `promotion_lease`: the replacement of primaries
 //! - `ready`, `drain`: what the load balancer sees
 
@@ -27,8 +27,8 @@
 mod event;
 mod failover;
 mod fencing;
-mod fleet;
 mod leadership_proof;
+mod node_count;
 mod outcome;
 mod owners;
 mod peer;
@@ -54,9 +54,9 @@
     ConnectionId, Document, GateEvent, ListedDatabase, NodeRole, PromoteResult, SessionId,
     SessionOrigin, StoreState, StoredDocument, WriteResult, rank_of_priority,
 };
-pub use fleet::FleetRecord;
 pub use leadership_proof::LeadershipProof;
 pub use model::DatabaseRole;
+pub use node_count::NodeCountRecord;
 pub use owners::{FEW_NODES, OwnerInput, OwnerTable};
 pub use promotion_lease::{
     CALL_TIME, LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_LEASE_TTL, PromotionLease,
@@ -72,7 +72,7 @@
 use database::{BackendConnection, Database};
 use drain::DrainState;
 use failover::FailoverState;
-use fleet::FleetState;
+use node_count::NodeCountState;
 use peer::PeerState;
 use read_lease::ReadLeaseState;
 use ready::ReadyState;
@@ -118,7 +118,7 @@
     read_lease: ReadLeaseState,
     peers: PeerState,
     owners: OwnerTable,
-    fleet: FleetState,
+    node_count: NodeCountState,
 }
 
 impl Gate {
@@ -161,7 +161,7 @@
             read_lease: ReadLeaseState::default(),
             peers: PeerState::default(),
             owners: OwnerTable::default(),
-            fleet: FleetState::default(),
+            node_count: NodeCountState::default(),
             settings,
         }
     }
@@ -202,7 +202,7 @@
             GateEvent::DocumentsListed(documents) => self.documents_listed(documents),
             GateEvent::DocumentChanged(stored) => self.document_changed(stored),
             GateEvent::DocumentRemoved(document) => match document {
-                Document::PromotionLease | Document::Fleet => {}
+                Document::PromotionLease | Document::NodeCount => {}
                 Document::Node(role, name) => {
                     self.registry.remove(self.now, role, &name);
                     self.update_owners();
@@ -233,7 +233,7 @@
         self.resume_and_expire_requests();
         self.maintain_connections();
         self.maintain_peers();
-        self.maintain_fleet_count();
+        self.maintain_node_count();
         self.maintain_clusters();
         self.remove_unlisted();
         self.end_idle_transactions();
@@ -261,7 +261,7 @@
             .iter()
             .filter_map(|stored| match &stored.document {
                 Document::Node(role, name) => Some((*role, name.clone())),
-                Document::PromotionLease | Document::Fleet => None,
+                Document::PromotionLease | Document::NodeCount => None,
             })
             .collect();
         self.registry.retain(self.now, &nodes);
@@ -290,9 +290,9 @@
                 }
                 self.announcement_seen();
             }
-            Document::Fleet => {
+            Document::NodeCount => {
                 let record = self.read_record("fleet", &stored.bytes);
-                self.fleet_record_read(record);
+                self.node_count_read(record);
             }
             Document::Node(role, name) => {
                 let record = self.read_record("node", &stored.bytes);
--- a/crates/gate/src/fleet.rs
+++ b/crates/gate/src/node_count.rs
@@ -29,20 +29,20 @@
 
 /// The stored record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetRecord {
+pub struct NodeCountRecord {
     pub nodes: u32,
 }
 
 /// What is known about the number of nodes.
 #[derive(Debug, Default)]
-pub(crate) struct FleetState {
+pub(crate) struct NodeCountState {
     known_nodes: u32,
     /// Since when fewer nodes than known have been registered.
     incomplete_since: Option<Micros>,
     count_differs_since: Option<Micros>,
 }
 
-impl FleetState {
+impl NodeCountState {
     /// Returns true if the store contains the number of nodes.
     pub(crate) fn is_known(&self) -> bool {
         self.known_nodes > 0
@@ -62,36 +62,37 @@
 
 impl Gate {
     /// Processes the stored record.
-    pub(crate) fn fleet_record_read(&mut self, record: FleetRecord) {
-        self.fleet.known_nodes = record.nodes;
+    pub(crate) fn node_count_read(&mut self, record: NodeCountRecord) {
+        self.node_count.known_nodes = record.nodes;
     }
 
     pub(crate) fn awaits_nodes(&mut self) -> bool {
         let node_count = self.registry.node_count();
-        self.fleet.awaits_nodes(self.now, node_count)
+        self.node_count.awaits_nodes(self.now, node_count)
     }
 
     /// Ends the wait for nodes. One node stores their number if it has differed for long enough.
-    pub(crate) fn maintain_fleet_count(&mut self) {
+    pub(crate) fn maintain_node_count(&mut self) {
         let now = self.now;
-        if self.fleet.incomplete_since.is_some() {
+        if self.node_count.incomplete_since.is_some() {
             self.update_owners();
         }
-        let (node_count, known) = (self.registry.node_count(), self.fleet.known_nodes);
+        let (node_count, known) = (self.registry.node_count(), self.node_count.known_nodes);
         let large = node_count.max(known) as usize > FEW_NODES;
         if !large || node_count.abs_diff(known) * 100 <= known * COUNT_CHANGE_PERCENT {
-            self.fleet.count_differs_since = None;
+            self.node_count.count_differs_since = None;
             return;
         }
-        let since = *self.fleet.count_differs_since.get_or_insert(now);
+        let since = *self.node_count.count_differs_since.get_or_insert(now);
         let first = self.table.clusters.keys().min();
         let writes = first.is_some_and(|cluster| self.owner_position(cluster) == 0);
         if writes && self.registration.role == NodeRole::Owner && now >= since + COUNT_CHANGE_DELAY
         {
-            self.fleet.count_differs_since = Some(now);
+            self.node_count.count_differs_since = Some(now);
             self.log("fleet_counted", fields!["nodes" => u64::from(node_count)]);
-            if let Some(bytes) = self.write_record("fleet", &FleetRecord { nodes: node_count }) {
-                self.out.push(GateAction::WriteFleet { bytes });
+            if let Some(bytes) = self.write_record("fleet", &NodeCountRecord { nodes: node_count })
+            {
+                self.out.push(GateAction::WriteNodeCount { bytes });
             }
         }
     }
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -51,7 +51,7 @@
     pub(crate) fn maintain_registration(&mut self, suspected_clusters: BTreeSet<String>) {
         let now = self.now;
         let Some((listed, others)) = self.registration.listed else { return };
-        let settled = others || self.fleet.is_known() || now >= listed + DISCOVERY_GRACE;
+        let settled = others || self.node_count.is_known() || now >= listed + DISCOVERY_GRACE;
         let owns = self.table.clusters.keys().any(|cluster| self.owns_connections(cluster));
         let warm = self.registration.role == NodeRole::Owner || self.is_warmed_up();
         let role = match self.registration.role {
--- a/crates/gate/tests/large_deployment.rs
+++ b/crates/gate/tests/large_deployment.rs
@@ -28,8 +28,8 @@
 }
 
 fn stored_node_count() -> StoredDocument {
-    let record = FleetRecord { nodes: NODES.into() };
-    stored(Document::Fleet, serde_json::to_vec(&record).unwrap())
+    let record = NodeCountRecord { nodes: NODES.into() };
+    stored(Document::NodeCount, serde_json::to_vec(&record).unwrap())
 }
 
 /// Starts `n0` with a list of three databases.
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -118,7 +118,7 @@
 fn document_key(document: &Document) -> String {
     match document {
         Document::PromotionLease => "duty".to_string(),
-        Document::Fleet => "fleet".to_string(),
+        Document::NodeCount => "fleet".to_string(),
         Document::Node(NodeRole::Owner, name) => format!("nodes/{name}"),
         Document::Node(NodeRole::Standby, name) => format!("standbys/{name}"),
     }
@@ -377,9 +377,9 @@
                     self.store(Document::Node(role, name), bytes);
                 }
             }
-            GateAction::WriteFleet { bytes } => {
+            GateAction::WriteNodeCount { bytes } => {
                 if !self.store_cut.contains(&gate) {
-                    self.store(Document::Fleet, bytes);
+                    self.store(Document::NodeCount, bytes);
                 }
             }
             GateAction::ReadState => {
