--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use gate::{
     AnswerEnd, BackendAnswer, BackendCommand, ConnectionId, ErrorCode, Gate, GateAction, GateEvent,
-    SessionId, SessionOrigin, SessionState, TICK,
+    SessionId, SessionOrigin, SessionState, TIMER_INTERVAL,
 };
 use model::{FastMap, Name};
 use signal_hook::iterator::Signals;
@@ -164,7 +164,7 @@
         if self.status.dump_requested() {
             self.status.set_dump(self.gate.dump().to_string());
         }
-        after!(Duration::from_micros(TICK.0), [cx], tick());
+        after!(Duration::from_micros(TIMER_INTERVAL.0), [cx], tick());
     }
 
     fn handle_signal(&mut self, cx: CX![], signal: ProcessSignal) {
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use gate::{
-    Document, FEW_NODES, GateEvent, ListedDatabase, NodeRole, PromoteResult, RouteTable,
-    StoreState, StoredDocument, WriteResult,
+    Document, GateEvent, ListedDatabase, NodeRole, PromoteResult, RouteTable,
+    SMALL_DEPLOYMENT_MAX_NODES, StoreState, StoredDocument, WriteResult,
 };
 use model::{FastSet, Name};
 use stakker::sync::Channel;
@@ -346,7 +346,7 @@
         }
         if changed && self.forwards_only() {
             thread::sleep(STANDBY_WATCH_INTERVAL);
-        } else if registered && self.registered_nodes.len() > FEW_NODES {
+        } else if registered && self.registered_nodes.len() > SMALL_DEPLOYMENT_MAX_NODES {
             thread::sleep(OWNER_WATCH_INTERVAL);
         }
         Ok(next)
@@ -354,7 +354,8 @@
 
     /// Returns whether this node only forwards: it is a standby and one of many nodes.
     fn forwards_only(&self) -> bool {
-        self.registered_nodes.len() > FEW_NODES && self.standby.load(Ordering::Relaxed)
+        self.registered_nodes.len() > SMALL_DEPLOYMENT_MAX_NODES
+            && self.standby.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -57,9 +57,9 @@
 pub use leadership_proof::LeadershipProof;
 pub use model::DatabaseRole;
 pub use node_count::NodeCountRecord;
-pub use owners::{FEW_NODES, OwnerInput, OwnerTable};
+pub use owners::{OwnerInput, OwnerTable, SMALL_DEPLOYMENT_MAX_NODES};
 pub use promotion_lease::{
-    CALL_TIME, LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_LEASE_TTL, PromotionLease,
+    LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_CALL_TIMEOUT, PROMOTION_LEASE_TTL, PromotionLease,
     PromotionLeaseRecord,
 };
 pub use read_lease::READ_LEASE_TTL;
@@ -91,7 +91,7 @@
 
 /// Interval of [`GateEvent::Timer`] and thus the precision of all time limits: a fifth of the
 /// shortest latency objective in the configurations.
-pub const TICK: Micros = Micros::from_millis(20);
+pub const TIMER_INTERVAL: Micros = Micros::from_millis(20);
 
 /// The decision core of one process.
 #[derive(Debug)]
--- a/crates/gate/src/node_count.rs
+++ b/crates/gate/src/node_count.rs
@@ -10,7 +10,7 @@
 
 use crate::action::GateAction;
 use crate::event::NodeRole;
-use crate::owners::FEW_NODES;
+use crate::owners::SMALL_DEPLOYMENT_MAX_NODES;
 use crate::{Gate, fields};
 
 /// Percentage of the known nodes that must be registered. The loss of a data centre during a
@@ -51,7 +51,7 @@
     /// Returns true if more nodes are expected to register soon.
     fn awaits_nodes(&mut self, now: Micros, node_count: u32) -> bool {
         let complete = node_count * 100 >= self.known_nodes * COMPLETE_PERCENT;
-        if self.known_nodes as usize <= FEW_NODES || complete {
+        if self.known_nodes as usize <= SMALL_DEPLOYMENT_MAX_NODES || complete {
             self.incomplete_since = None;
             return false;
         }
@@ -78,7 +78,7 @@
             self.update_owners();
         }
         let (node_count, known) = (self.registry.node_count(), self.node_count.known_nodes);
-        let large = node_count.max(known) as usize > FEW_NODES;
+        let large = node_count.max(known) as usize > SMALL_DEPLOYMENT_MAX_NODES;
         if !large || node_count.abs_diff(known) * 100 <= known * COUNT_CHANGE_PERCENT {
             self.node_count.count_differs_since = None;
             return;
--- a/crates/gate/src/owners.rs
+++ b/crates/gate/src/owners.rs
@@ -19,7 +19,7 @@
 
 /// Up to this number of nodes, every node owns connections. It is the smallest known connection
 /// limit of a database.
-pub const FEW_NODES: usize = 16;
+pub const SMALL_DEPLOYMENT_MAX_NODES: usize = 16;
 
 /// Minimum number of owners of a cluster, so that more than one remains when one is lost.
 const MIN_OWNERS: usize = 3;
@@ -99,7 +99,7 @@
 
 fn choose_owners(input: &OwnerInput) -> FastMap<Name, Vec<Name>> {
     let mut owners = FastMap::<Name, Vec<Name>>::default();
-    if input.nodes.len() <= FEW_NODES {
+    if input.nodes.len() <= SMALL_DEPLOYMENT_MAX_NODES {
         return owners;
     }
     let mut centres = BTreeMap::<&Name, Vec<(&Name, u32)>>::new();
--- a/crates/gate/src/promotion_lease.rs
+++ b/crates/gate/src/promotion_lease.rs
@@ -15,7 +15,7 @@
 pub const PROMOTION_LEASE_TTL: Micros = Micros::from_millis(1_500);
 
 /// Timeout of one promotion call, after which its connection is reset.
-pub const CALL_TIME: Micros = Micros::from_millis(600);
+pub const PROMOTION_CALL_TIMEOUT: Micros = Micros::from_millis(600);
 
 /// Time for which the document must stay unchanged before another node takes the lease:
 /// [`PROMOTION_LEASE_TTL`], one call that began at its end, and 500 ms for timers that fire late.
--- a/crates/gate/tests/promotion_lease.rs
+++ b/crates/gate/tests/promotion_lease.rs
@@ -1,6 +1,8 @@
 //! The promotion lease under delays, lost and late writes, and pauses.
 
-use gate::{CALL_TIME, LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_LEASE_TTL, PromotionLease};
+use gate::{
+    LEASE_ACQUIRE_WAIT, LeaseWrite, PROMOTION_CALL_TIMEOUT, PROMOTION_LEASE_TTL, PromotionLease,
+};
 use model::Micros;
 use proptest::prelude::*;
 
@@ -103,7 +105,7 @@
 
 #[test]
 fn acquire_wait_covers_lease_ttl_and_one_call() {
-    assert!(LEASE_ACQUIRE_WAIT >= PROMOTION_LEASE_TTL + CALL_TIME);
+    assert!(LEASE_ACQUIRE_WAIT >= PROMOTION_LEASE_TTL + PROMOTION_CALL_TIMEOUT);
 }
 
 #[test]
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -282,7 +282,7 @@
     pub fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
-            let tick = self.now + TICK;
+            let tick = self.now + TIMER_INTERVAL;
             while let Some(Reverse(next)) = self.queue.peek()
                 && next.at <= tick
             {
@@ -292,7 +292,7 @@
                 self.deliver(delivery);
             }
             self.now = tick;
-            let renews = (tick.0 / TICK.0).is_multiple_of(15);
+            let renews = (tick.0 / TIMER_INTERVAL.0).is_multiple_of(15);
             for gate in 0..self.gates.len() {
                 if self.stopped.contains(&gate) {
                     continue;
--- a/crates/gate/tests/support/single_gate.rs
+++ b/crates/gate/tests/support/single_gate.rs
@@ -74,7 +74,7 @@
     pub fn run(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
-            self.now += TICK;
+            self.now += TIMER_INTERVAL;
             self.event(GateEvent::Timer);
         }
     }
