--- a/crates/gate/src/statement.rs
+++ b/crates/gate/src/statement.rs
@@ -94,7 +94,7 @@
 
 impl ErrorCode {
     /// Returns true if the code guarantees that the request did not run.
-    pub const fn promises_not_run(self) -> bool {
+    pub const fn guarantees_not_run(self) -> bool {
         matches!(
             self,
             ErrorCode::Busy
