--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -123,7 +123,7 @@
         peer_listener,
         admin,
         counters,
-        incarnation: shell::process_number(),
+        incarnation: shell::process_incarnation(),
         seed: u64::from_le_bytes(seed),
     };
 
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -133,7 +133,7 @@
     ///     data_centre: "dc1".into(),
     ///     capacity: 250,
     ///     peer_address: None,
-    ///     process: 1,
+    ///     incarnation: 1,
     ///     grace: Micros::from_secs(6),
     /// });
     /// let mut actions = Vec::new();
@@ -142,7 +142,7 @@
     pub fn new(settings: GateSettings) -> Self {
         Gate {
             registry: NodeRegistry::new(settings.node.clone()),
-            promotion_lease: PromotionLease::new(settings.node.clone(), settings.process),
+            promotion_lease: PromotionLease::new(settings.node.clone(), settings.incarnation),
             now: Micros::ZERO,
             started: Micros::MAX,
             out: Vec::new(),
--- a/crates/gate/src/promotion_lease.rs
+++ b/crates/gate/src/promotion_lease.rs
@@ -49,7 +49,7 @@
 pub struct PromotionLease {
     node: Name,
     /// Distinguishes this process from earlier ones of the same name.
-    process: u64,
+    incarnation: u64,
     record: PromotionLeaseRecord,
     revision: u64,
     /// When the record was last seen to change; `None` until it was first read.
@@ -77,10 +77,10 @@
 
 impl PromotionLease {
     /// Creates the state of a process that has not read the record yet.
-    pub fn new(node: Name, process: u64) -> Self {
+    pub fn new(node: Name, incarnation: u64) -> Self {
         PromotionLease {
             node,
-            process,
+            incarnation,
             record: PromotionLeaseRecord::default(),
             revision: 0,
             changed: None,
@@ -178,7 +178,7 @@
         let record = PromotionLeaseRecord {
             holder: self.node.to_string(),
             fencing_token: token,
-            write_id: self.process.wrapping_add(self.attempt),
+            write_id: self.incarnation.wrapping_add(self.attempt),
             idle,
             announced_clusters,
         };
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -105,7 +105,7 @@
 
     fn node_record(&self, suspected_clusters: BTreeSet<String>) -> NodeRecord {
         NodeRecord {
-            process: self.settings.process,
+            incarnation: self.settings.incarnation,
             suspected_clusters,
             acknowledged: match self.registration.role {
                 NodeRole::Owner => self.read_lease.acknowledged,
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -22,7 +22,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// Distinguishes processes that ran under the same name.
-    pub process: u64,
+    #[serde(rename = "process")]
+    pub incarnation: u64,
     /// Clusters whose primary the node cannot use.
     #[serde(rename = "complaints")]
     pub suspected_clusters: BTreeSet<String>,
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -14,7 +14,7 @@
     /// Address to which other nodes forward requests.
     pub peer_address: Option<SocketAddr>,
     /// Distinguishes processes that ran under the same name.
-    pub process: u64,
+    pub incarnation: u64,
     /// Time between SIGTERM and SIGKILL.
     pub grace: Micros,
 }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -170,7 +170,7 @@
                     data_centre: "east".into(),
                     capacity: 250,
                     peer_address: None,
-                    process: 1,
+                    incarnation: 1,
                     grace: Micros::from_secs(6),
                 })
             })
--- a/crates/gate/tests/support/single_gate.rs
+++ b/crates/gate/tests/support/single_gate.rs
@@ -57,7 +57,7 @@
             data_centre: data_centre.into(),
             capacity,
             peer_address: None,
-            process: 1,
+            incarnation: 1,
             grace: Micros::from_secs(6),
         });
         let mut single = SingleGate { gate, now: Micros::ZERO, actions: Vec::new() };
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,5 +1,5 @@
-//! Parts that both programs of this project share: the event loop, listening sockets and the number that identifies
-//! a run of a process.
+//! Parts that both programs of this project share: the event loop, listening sockets and the incarnation of
+//! a process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -78,13 +78,13 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Returns a number for this run of the process, larger than those of earlier runs: the microseconds since 1970.
+/// Returns the incarnation of this process, a number larger than those of its earlier runs: the microseconds since 1970.
 ///
 /// ```
-/// let first = shell::process_number();
-/// assert!(shell::process_number() >= first);
+/// let first = shell::process_incarnation();
+/// assert!(shell::process_incarnation() >= first);
 /// ```
-pub fn process_number() -> u64 {
+pub fn process_incarnation() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     elapsed.map_or(0, |elapsed| u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
 }
