--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -261,8 +261,8 @@
             GateAction::WritePromotionLease { attempt, expected, bytes } => {
                 self.store.write_promotion_lease(attempt, expected, bytes);
             }
-            GateAction::PublishNode { role, registration, bytes } => {
-                self.store.publish_registration(role, registration, bytes);
+            GateAction::PublishRegistration { role, role_changes, bytes } => {
+                self.store.publish_registration(role, role_changes, bytes);
             }
             GateAction::WriteNodeCount { bytes } => self.store.write_node_count(bytes),
             GateAction::ReadState => self.store.read_state(),
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -181,7 +181,7 @@
 /// A registration that the gate asked to publish.
 struct RegistrationUpdate {
     role: NodeRole,
-    number: u64,
+    role_changes: u64,
     bytes: Vec<u8>,
 }
 
@@ -206,9 +206,9 @@
         StoreThreads { client, events, commands, standby }
     }
 
-    pub(crate) fn publish_registration(&self, role: NodeRole, number: u64, bytes: Vec<u8>) {
+    pub(crate) fn publish_registration(&self, role: NodeRole, role_changes: u64, bytes: Vec<u8>) {
         self.standby.store(role == NodeRole::Standby, Ordering::Relaxed);
-        let update = RegistrationUpdate { role, number, bytes };
+        let update = RegistrationUpdate { role, role_changes, bytes };
         match self.commands.try_send(PublishCommand::Publish(update)) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
@@ -498,7 +498,7 @@
                 if !std::mem::take(&mut unpublished) {
                     events.send(match update.role {
                         NodeRole::Owner => {
-                            GateEvent::ReadLeaseRenewed { sent, registration: update.number }
+                            GateEvent::ReadLeaseRenewed { sent, role_changes: update.role_changes }
                         }
                         NodeRole::Standby => GateEvent::StoreContactRenewed { sent },
                     });
@@ -509,7 +509,7 @@
                 if error == StoreError::LeaseEnded {
                     stored = None;
                     unpublished = true;
-                    events.send(GateEvent::ReadLeaseLost);
+                    events.send(GateEvent::RegistrationLeaseLost);
                 }
             }
         }
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -73,10 +73,10 @@
         bytes: Vec<u8>,
     },
     /// Publish this node's registration. If it had another role, the registration in that role
-    /// ends. `registration` is the number of the current role change.
-    PublishNode {
+    /// ends. `role_changes` counts the changes of role.
+    PublishRegistration {
         role: NodeRole,
-        registration: u64,
+        role_changes: u64,
         bytes: Vec<u8>,
     },
     /// Store the number of nodes.
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -160,18 +160,18 @@
         node: Name,
         ended: bool,
     },
-    /// This node's registration with this number, as an owner, is stored, and its lease was renewed
-    /// by a call sent at `sent`.
+    /// This node's registration as an owner after this number of role changes is stored, and its
+    /// lease was renewed by a call sent at `sent`.
     ReadLeaseRenewed {
         sent: Micros,
-        registration: u64,
+        role_changes: u64,
     },
     /// As `ReadLeaseRenewed`, for its registration as a standby.
     StoreContactRenewed {
         sent: Micros,
     },
-    /// The lease is gone; the next renewal acquires a new one.
-    ReadLeaseLost,
+    /// The lease of this node's registration is gone; the next renewal acquires a new one.
+    RegistrationLeaseLost,
     PromoteAnswered {
         cluster: Name,
         result: PromoteResult,
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -213,11 +213,11 @@
             }
             GateEvent::StateRead { state } => self.state_read(state),
             GateEvent::LeaseEnded { node, ended } => self.lease_ended(&node, ended),
-            GateEvent::ReadLeaseRenewed { sent, registration } => {
-                self.read_lease_renewed(sent, registration);
+            GateEvent::ReadLeaseRenewed { sent, role_changes } => {
+                self.read_lease_renewed(sent, role_changes);
             }
             GateEvent::StoreContactRenewed { sent } => self.store_contact_renewed(sent),
-            GateEvent::ReadLeaseLost => self.read_lease_lost(),
+            GateEvent::RegistrationLeaseLost => self.read_lease_lost(),
             GateEvent::PromoteAnswered { cluster, result } => {
                 self.promote_answered(&cluster, result);
             }
--- a/crates/gate/src/read_lease.rs
+++ b/crates/gate/src/read_lease.rs
@@ -41,9 +41,9 @@
 }
 
 impl Gate {
-    pub(crate) fn read_lease_renewed(&mut self, sent: Micros, registration: u64) {
+    pub(crate) fn read_lease_renewed(&mut self, sent: Micros, role_changes: u64) {
         let state = &self.registration;
-        if state.role != NodeRole::Owner || state.role_changes != registration {
+        if state.role != NodeRole::Owner || state.role_changes != role_changes {
             return;
         }
         if self.read_lease.acquired.is_none() {
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -120,8 +120,8 @@
 
     fn publish(&mut self, record: NodeRecord) {
         if let Some(bytes) = self.write_record("node", &record) {
-            let (role, registration) = (self.registration.role, self.registration.role_changes);
-            self.out.push(GateAction::PublishNode { role, registration, bytes });
+            let (role, role_changes) = (self.registration.role, self.registration.role_changes);
+            self.out.push(GateAction::PublishRegistration { role, role_changes, bytes });
         }
         self.registration.record = Some(record);
         self.registration.published = self.now;
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -300,8 +300,8 @@
                 if renews && self.renewing.contains(&gate) && !self.store_cut.contains(&gate) {
                     let sent = self.now;
                     let event = match self.registered[gate] {
-                        (NodeRole::Owner, registration) => {
-                            GateEvent::ReadLeaseRenewed { sent, registration }
+                        (NodeRole::Owner, role_changes) => {
+                            GateEvent::ReadLeaseRenewed { sent, role_changes }
                         }
                         (NodeRole::Standby, _) => GateEvent::StoreContactRenewed { sent },
                     };
@@ -370,9 +370,9 @@
                 let event = GateEvent::PromotionLeaseWritten { attempt, result };
                 self.schedule(Micros::from_millis(5), Delivery::Gate(gate, event));
             }
-            GateAction::PublishNode { role, registration, bytes } => {
+            GateAction::PublishRegistration { role, role_changes, bytes } => {
                 if !self.store_cut.contains(&gate) {
-                    self.registered[gate] = (role, registration);
+                    self.registered[gate] = (role, role_changes);
                     let name = self.names[gate].clone();
                     self.store(Document::Node(role, name), bytes);
                 }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -78,7 +78,8 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Returns the incarnation of this process, a number larger than those of its earlier runs: the microseconds since 1970.
+/// Returns the incarnation of this process, a number larger than those of its earlier runs: the microseconds since
+/// 1970.
 ///
 /// ```
 /// let first = shell::process_incarnation();
