--- a/crates/edge/src/codec.rs
+++ b/crates/edge/src/codec.rs
@@ -2,7 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 use gate::{
-    BackendCommand, ClientReply, ClientRequest, DatabaseReport, ErrorCode, LogPoint, SessionState,
+    BackendCommand, ClientReply, ClientRequest, DatabaseReport, ErrorCode, SessionState,
+    TermPosition,
 };
 use model::Name;
 
@@ -27,7 +28,7 @@
     Row(Bytes),
     Done(Bytes),
     Error { code: ErrorCode, text: String },
-    Ready { state: SessionState, point: Option<LogPoint> },
+    Ready { state: SessionState, position: Option<TermPosition> },
 }
 
 /// Input that cannot be a message; the connection must be closed.
@@ -62,11 +63,11 @@
     /// Writes an error that ends a session before or instead of a reply.
     fn write_refusal(code: ErrorCode, text: &str, output: &mut BytesMut);
 
-    /// Writes the answer to a request. `point` is given only if a peer node is asking.
+    /// Writes the answer to a request. `position` is given only if a peer node is asking.
     fn write_reply(
         reply: &ClientReply,
         state: SessionState,
-        point: Option<LogPoint>,
+        position: Option<TermPosition>,
         output: &mut BytesMut,
     );
 
--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -227,10 +227,10 @@
                     self.dirty_clients.push(session.0);
                 }
             }
-            GateAction::Reply { session, reply, state, point } => {
+            GateAction::Reply { session, reply, state, position } => {
                 if let Some(client) = self.clients.get_mut(&session.0) {
-                    let point = point.filter(|_| client.origin == SessionOrigin::Peer);
-                    P::Codec::write_reply(&reply, state, point, &mut client.socket.output);
+                    let position = position.filter(|_| client.origin == SessionOrigin::Peer);
+                    P::Codec::write_reply(&reply, state, position, &mut client.socket.output);
                     client.state = state;
                     client.busy = false;
                     self.dirty_clients.push(session.0);
@@ -529,11 +529,11 @@
                 BackendMessage::Error { code, text } => {
                     backend.answer_end = Some(AnswerEnd::Failed { code, text });
                 }
-                BackendMessage::Ready { point, .. } if !backend.opened => {
+                BackendMessage::Ready { position, .. } if !backend.opened => {
                     backend.opened = true;
-                    self.advance_gate(cx, GateEvent::ConnectionOpened { connection, point });
+                    self.advance_gate(cx, GateEvent::ConnectionOpened { connection, position });
                 }
-                BackendMessage::Ready { state, point } => {
+                BackendMessage::Ready { state, position } => {
                     let (Some(end), Some(reports)) =
                         (backend.answer_end.take(), backend.unanswered.pop_front())
                     else {
@@ -542,7 +542,7 @@
                     };
                     let rows = std::mem::take(&mut backend.rows);
                     let report = if reports { P::Codec::read_report(&rows) } else { None };
-                    let answer = Box::new(BackendAnswer { rows, end, state, point, report });
+                    let answer = Box::new(BackendAnswer { rows, end, state, position, report });
                     self.advance_gate(cx, GateEvent::ConnectionAnswered { connection, answer });
                 }
             }
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use model::Name;
 
-use crate::backend::{BackendCommand, LogPoint};
+use crate::backend::{BackendCommand, TermPosition};
 use crate::event::{ConnectionId, NodeRole, SessionId};
 use crate::statement::{ErrorCode, SessionState};
 
@@ -42,7 +42,7 @@
         reply: ClientReply,
         state: SessionState,
         /// Position of the session's last commit, for other nodes.
-        point: Option<LogPoint>,
+        position: Option<TermPosition>,
     },
     CloseSession {
         session: SessionId,
--- a/crates/gate/src/backend.rs
+++ b/crates/gate/src/backend.rs
@@ -5,16 +5,16 @@
 
 use crate::statement::{ErrorCode, SessionState, StatementAccess};
 
-/// A position in a cluster's log, ordered by term first.
+/// A term and a position in a cluster's log, ordered by term first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LogPoint {
+pub struct TermPosition {
     pub term: Term,
-    pub number: u64,
+    pub position: u64,
 }
 
-impl std::fmt::Display for LogPoint {
+impl std::fmt::Display for TermPosition {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{}.{}", self.term, self.number)
+        write!(formatter, "{}.{}", self.term, self.position)
     }
 }
 
@@ -25,14 +25,14 @@
     Run {
         id: Name,
         text: Name,
-        after: Option<LogPoint>,
+        after: Option<TermPosition>,
     },
     /// Execution of a client's prepared statement under this proxy's name for it.
     Execute {
         id: Name,
         prepared: Name,
         arguments: Name,
-        after: Option<LogPoint>,
+        after: Option<TermPosition>,
     },
     /// Ends the open transaction without effect.
     Rollback,
@@ -69,7 +69,7 @@
     pub end: AnswerEnd,
     pub state: SessionState,
     /// Log position that the database has applied.
-    pub point: Option<LogPoint>,
+    pub position: Option<TermPosition>,
     /// Set for answers to commands that request a report.
     pub report: Option<DatabaseReport>,
 }
@@ -91,7 +91,7 @@
     pub role: DatabaseRole,
     pub term: Term,
     /// End of the log that it has received.
-    pub received: LogPoint,
+    pub received: TermPosition,
     /// Term of the fence in force, zero without one.
     pub fence: Term,
     pub lag: Micros,
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -3,7 +3,7 @@
 use model::{DatabaseRole, Micros, Name};
 
 use crate::action::GateAction;
-use crate::backend::{AnswerEnd, BackendAnswer, BackendCommand, LogPoint};
+use crate::backend::{AnswerEnd, BackendAnswer, BackendCommand, TermPosition};
 use crate::cluster::LEAVING_GRACE;
 use crate::database::{BackendConnection, CommandPurpose, PendingCommand, steady_share};
 use crate::event::ConnectionId;
@@ -118,7 +118,11 @@
         }
     }
 
-    pub(crate) fn connection_opened(&mut self, connection: ConnectionId, point: Option<LogPoint>) {
+    pub(crate) fn connection_opened(
+        &mut self,
+        connection: ConnectionId,
+        position: Option<TermPosition>,
+    ) {
         let now = self.now;
         let Some(state) = self.connections.get_mut(&connection) else { return };
         if state.open {
@@ -134,7 +138,7 @@
             // Other nodes are probed by opening a connection, because there is no probe command.
             database.overdue_since = None;
         }
-        database.applied = point.max(database.applied);
+        database.applied = position.max(database.applied);
         database.applied_at = now;
         database.idle.push(connection);
         if database.report.is_none() && database.listed.claimed_role == Some(DatabaseRole::Primary)
@@ -291,15 +295,15 @@
         {
             database.latency.observe(now, now.saturating_sub(pending.sent));
         }
-        if let Some(point) = answer.point {
+        if let Some(position) = answer.position {
             if let Some(database) = self.databases.get_mut(&name) {
-                database.applied = Some(point);
+                database.applied = Some(position);
                 database.applied_at = now;
             }
             self.apply_read_lease(&cluster);
             if let Some(state) = self.clusters.get_mut(&cluster) {
-                state.proof.observe_leader_position(&name, pending.sent, point);
-                state.proof.observe_replica_position(&name, point);
+                state.proof.observe_leader_position(&name, pending.sent, position);
+                state.proof.observe_replica_position(&name, position);
             }
         }
         match pending.purpose {
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -5,7 +5,7 @@
 use admit::{QueueConfig, SlotQueue};
 use model::{FastMap, Micros, Name, RankConfig, RankMap};
 
-use crate::backend::{BackendCommand, DatabaseReport, LogPoint};
+use crate::backend::{BackendCommand, DatabaseReport, TermPosition};
 use crate::event::{ConnectionId, ListedDatabase, SessionId};
 use crate::request::WorkId;
 use crate::route::RouteConfig;
@@ -111,7 +111,7 @@
     pub(crate) opening: u32,
     pub(crate) report: Option<DatabaseReport>,
     pub(crate) last_report_at: Option<Micros>,
-    pub(crate) applied: Option<LogPoint>,
+    pub(crate) applied: Option<TermPosition>,
     pub(crate) applied_at: Micros,
     /// When a connection was last refused for the connection limit.
     pub(crate) limit_refused_at: Option<Micros>,
@@ -235,9 +235,9 @@
     }
 
     /// Returns true if the database lacked the position recently, so that it probably still does.
-    pub(crate) fn lacks_position(&self, now: Micros, point: Option<LogPoint>) -> bool {
+    pub(crate) fn lacks_position(&self, now: Micros, position: Option<TermPosition>) -> bool {
         now < self.applied_at + APPLIED_POSITION_TTL
-            && self.applied.is_some_and(|applied| Some(applied) < point)
+            && self.applied.is_some_and(|applied| Some(applied) < position)
     }
 
     /// Returns true if a further request of a route would wait too long for its latency objective
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -57,7 +57,7 @@
                     "idle_links": database.idle.len(),
                     "load": database.load(),
                     "latency_ms": database.latency.value(now).as_millis(),
-                    "applied": database.applied.map(|point| point.to_string()),
+                    "applied": database.applied.map(|position| position.to_string()),
                 })
             })
             .collect();
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -4,7 +4,7 @@
 
 use model::{DatabaseRole, Micros, Name, Rank};
 
-use crate::backend::{BackendAnswer, LogPoint};
+use crate::backend::{BackendAnswer, TermPosition};
 use crate::route::RouteTable;
 use crate::statement::{ClientRequest, ErrorCode};
 
@@ -118,7 +118,7 @@
     // Connections to databases.
     ConnectionOpened {
         connection: ConnectionId,
-        point: Option<LogPoint>,
+        position: Option<TermPosition>,
     },
     /// The database refused the connection.
     ConnectionRefused {
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -2,7 +2,7 @@
 
 use model::{DatabaseRole, Micros, Name};
 
-use crate::backend::{BackendAnswer, BackendCommand, LogPoint};
+use crate::backend::{BackendAnswer, BackendCommand, TermPosition};
 use crate::database::CommandPurpose;
 use crate::event::ConnectionId;
 use crate::failover::{FailoverStage, STEP_RETRY_INTERVAL};
@@ -192,7 +192,7 @@
     }
 
     /// Returns the fenced replica with the longest log; among equals, one that is not leaving.
-    pub(crate) fn longest_fenced_log(&self, cluster: &Name) -> Option<(Name, LogPoint)> {
+    pub(crate) fn longest_fenced_log(&self, cluster: &Name) -> Option<(Name, TermPosition)> {
         let failover = self.failovers.running.get(cluster)?;
         failover
             .fenced
--- a/crates/gate/src/leadership_proof.rs
+++ b/crates/gate/src/leadership_proof.rs
@@ -19,7 +19,7 @@
 
 use model::{DatabaseRole, FastMap, Micros, Name, Term};
 
-use crate::backend::{DatabaseReport, LogPoint};
+use crate::backend::{DatabaseReport, TermPosition};
 
 /// Number of positions of the primary that are kept. At one per [`SAMPLE_INTERVAL`] they reach back
 /// 4 s, which is more than the configured data ages.
@@ -32,26 +32,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct LeaderPosition {
     since: Micros,
-    point: LogPoint,
+    position: TermPosition,
 }
 
 /// What a node knows about the leadership of one cluster.
 ///
 /// ```
-/// use gate::{DatabaseReport, DatabaseRole, LeadershipProof, LogPoint};
+/// use gate::{DatabaseReport, DatabaseRole, LeadershipProof, TermPosition};
 /// use model::{Micros, Name, Term};
 ///
 /// let (primary, replica) = (Name::from("a"), Name::from("b"));
-/// let point = LogPoint { term: Term(3), number: 7 };
+/// let position = TermPosition { term: Term(3), position: 7 };
 /// let report = |role| DatabaseReport {
-///     role, term: Term(3), received: point, fence: Term(0), lag: Micros::ZERO, connections: 1,
+///     role, term: Term(3), received: position, fence: Term(0), lag: Micros::ZERO, connections: 1,
 /// };
 /// let mut proof = LeadershipProof::default();
 /// proof.report(&primary, Micros(10), &report(DatabaseRole::Primary));
 /// assert!(!proof.proves(&primary, Micros(5)));
 /// proof.report(&replica, Micros(20), &report(DatabaseRole::Replica));
 /// assert!(proof.proves(&primary, Micros(20)));
-/// assert_eq!(proof.proved_position(Micros(10)), Some(point));
+/// assert_eq!(proof.proved_position(Micros(10)), Some(position));
 /// ```
 #[derive(Debug, Default)]
 pub struct LeadershipProof {
@@ -68,7 +68,7 @@
     /// Replicas with a fence above `term`, and since when.
     fenced: FastMap<Name, Micros>,
     /// Highest position that a replica held or at which a commit was acknowledged.
-    known_log_end: LogPoint,
+    known_log_end: TermPosition,
     unproved: VecDeque<LeaderPosition>,
     proved: VecDeque<LeaderPosition>,
 }
@@ -112,7 +112,7 @@
             self.directly_confirmed = None;
             self.fenced.clear();
             // Replicas roll back what the new primary lacks.
-            self.known_log_end = LogPoint::default();
+            self.known_log_end = TermPosition::default();
             self.unproved.clear();
         }
         match report.role {
@@ -145,7 +145,12 @@
     }
 
     /// Records the log position that a database sent in answer to a command sent at `sent`.
-    pub fn observe_leader_position(&mut self, database: &Name, sent: Micros, point: LogPoint) {
+    pub fn observe_leader_position(
+        &mut self,
+        database: &Name,
+        sent: Micros,
+        position: TermPosition,
+    ) {
         if self.leader.as_ref() != Some(database) {
             return;
         }
@@ -153,7 +158,7 @@
         if last.is_some_and(|last| sent < last.since + SAMPLE_INTERVAL) {
             return;
         }
-        self.unproved.push_back(LeaderPosition { since: sent, point });
+        self.unproved.push_back(LeaderPosition { since: sent, position });
         if self.unproved.len() > SAMPLE_LIMIT {
             self.unproved.pop_front();
         }
@@ -161,23 +166,28 @@
     }
 
     /// Records a position that a replica holds. A commit may have been acknowledged because of it.
-    pub fn observe_replica_position(&mut self, database: &Name, point: LogPoint) {
+    pub fn observe_replica_position(&mut self, database: &Name, position: TermPosition) {
         if self.leader.as_ref() != Some(database) {
-            self.known_log_end = self.known_log_end.max(point);
+            self.known_log_end = self.known_log_end.max(position);
         }
     }
 
     /// Returns the position that a new primary must hold so that no acknowledged commit is lost, as
     /// far as this node knows.
-    pub fn known_log_end(&self) -> LogPoint {
+    pub fn known_log_end(&self) -> TermPosition {
         self.known_log_end
     }
 
-    /// Records a commit at `point`, sent at `sent`, that the leader acknowledged with a synchronous
-    /// replica.
-    pub fn commit_acknowledged(&mut self, database: &Name, sent: Micros, point: Option<LogPoint>) {
+    /// Records a commit at `position`, sent at `sent`, that the leader acknowledged with a
+    /// synchronous replica.
+    pub fn commit_acknowledged(
+        &mut self,
+        database: &Name,
+        sent: Micros,
+        position: Option<TermPosition>,
+    ) {
         if self.leader.as_ref() == Some(database) {
-            self.known_log_end = self.known_log_end.max(point.unwrap_or_default());
+            self.known_log_end = self.known_log_end.max(position.unwrap_or_default());
             self.confirm_directly(sent);
         }
     }
@@ -233,8 +243,8 @@
 
     /// Returns the oldest proved position that covers every commit acknowledged before `since`. The
     /// oldest one is met by the most replicas.
-    pub fn proved_position(&self, since: Micros) -> Option<LogPoint> {
-        self.proved.iter().find(|sample| sample.since >= since).map(|sample| sample.point)
+    pub fn proved_position(&self, since: Micros) -> Option<TermPosition> {
+        self.proved.iter().find(|sample| sample.since >= since).map(|sample| sample.position)
     }
 
     /// Forgets the leader, for example after an error that only a replaced primary sends.
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -49,7 +49,7 @@
 use serde::de::DeserializeOwned;
 
 pub use action::{ClientReply, GateAction, LogRecord, LogValue};
-pub use backend::{AnswerEnd, BackendAnswer, BackendCommand, DatabaseReport, LogPoint};
+pub use backend::{AnswerEnd, BackendAnswer, BackendCommand, DatabaseReport, TermPosition};
 pub use event::{
     ConnectionId, Document, GateEvent, ListedDatabase, NodeRole, PromoteResult, SessionId,
     SessionOrigin, StoreState, StoredDocument, WriteResult, rank_of_priority,
@@ -185,8 +185,8 @@
                 self.request_arrived(session, request);
             }
             GateEvent::SessionClosed { session } => self.close_session(session),
-            GateEvent::ConnectionOpened { connection, point } => {
-                self.connection_opened(connection, point)
+            GateEvent::ConnectionOpened { connection, position } => {
+                self.connection_opened(connection, position)
             }
             GateEvent::ConnectionRefused { connection, code } => {
                 self.connection_refused(connection, code)
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -7,7 +7,7 @@
 use model::{Micros, Name};
 
 use crate::action::{ClientReply, GateAction};
-use crate::backend::{AnswerEnd, BackendAnswer, LogPoint};
+use crate::backend::{AnswerEnd, BackendAnswer, TermPosition};
 use crate::event::ConnectionId;
 use crate::request::{
     ActiveRequest, MAX_TRIES, OVERLOADED_TEXT, RequestKind, RequestStage, WorkId,
@@ -243,16 +243,16 @@
             if let Some(state) = self.clusters.get_mut(&cluster) {
                 state.commit_overdue = None;
             }
-            if let (Some(session), Some(point)) =
-                (self.sessions.get_mut(&request.session), answer.point)
+            if let (Some(session), Some(position)) =
+                (self.sessions.get_mut(&request.session), answer.position)
             {
-                let floor = session.commit_positions.entry(cluster.clone()).or_default();
-                *floor = point.max(*floor);
+                let last_commit = session.commit_positions.entry(cluster.clone()).or_default();
+                *last_commit = position.max(*last_commit);
             }
             if self.table.clusters.get(&cluster).is_some_and(|limits| limits.sync_replicas > 0)
                 && let Some(state) = self.clusters.get_mut(&cluster)
             {
-                state.proof.commit_acknowledged(&database, sent, answer.point);
+                state.proof.commit_acknowledged(&database, sent, answer.position);
             }
         }
         self.reply_success(id, answer);
@@ -263,8 +263,8 @@
         let AnswerEnd::Done(signature) = answer.end else { return };
         let reply = ClientReply::Done { rows: answer.rows, signature: Some(signature) };
         let commit = self.requests.get(&id).is_some_and(ActiveRequest::is_commit);
-        let point = answer.point;
-        self.finish_request(id, reply, "served", commit, point);
+        let position = answer.position;
+        self.finish_request(id, reply, "served", commit, position);
     }
 
     /// Replies to a request that failed or was given up, outside an open transaction.
@@ -301,7 +301,7 @@
         reply: ClientReply,
         outcome: &'static str,
         committed: bool,
-        point: Option<LogPoint>,
+        position: Option<TermPosition>,
     ) {
         self.release_slot(id);
         let Some(request) = self.requests.remove(&id) else { return };
@@ -331,7 +331,7 @@
                 "session" => request.session.0,
                 "route" => &request.route.name,
                 "database" => request.database.clone().unwrap_or_default().to_string(),
-                "after" => request.after.map_or_else(String::new, |point| point.to_string()),
+                "after" => request.after.map_or_else(String::new, |position| position.to_string()),
                 "version" => self.table.version,
                 "term" => proof.map_or(0, |proof| proof.term().0),
                 "proof_age_ms" => proof_age,
@@ -340,7 +340,7 @@
                 "outcome" => outcome
             ],
         );
-        self.reply(request.session, reply, point);
+        self.reply(request.session, reply, position);
         if let Some(name) = request.database {
             self.dispatch_queued(&name);
         }
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -9,7 +9,7 @@
 use model::{Micros, Name};
 
 use crate::Gate;
-use crate::backend::LogPoint;
+use crate::backend::TermPosition;
 use crate::event::{ConnectionId, SessionId};
 use crate::route::{Freshness, RouteConfig};
 use crate::session::coverage_time;
@@ -83,7 +83,7 @@
     pub(crate) stage: RequestStage,
     pub(crate) database: Option<Name>,
     pub(crate) connection: Option<ConnectionId>,
-    pub(crate) after: Option<LogPoint>,
+    pub(crate) after: Option<TermPosition>,
     /// The leader must be proved for this time.
     pub(crate) proof_time: Option<Micros>,
     pub(crate) sent: Option<Micros>,
@@ -166,9 +166,9 @@
         let since = coverage_time(route.freshness, started_at);
         if !for_leader
             && let Some(since) = since
-            && let Some(point) = cluster.proof.proved_position(since)
+            && let Some(position) = cluster.proof.proved_position(since)
         {
-            let after = Some(point).max(self.required_position(id));
+            let after = Some(position).max(self.required_position(id));
             if let Some(replica) = self.choose_replica(id, &route.cluster, after) {
                 return self.queue_at(id, replica, after, None);
             }
@@ -234,7 +234,7 @@
 
     /// Returns the required position of a read: what its session has written, or what the
     /// forwarding node requires.
-    pub(crate) fn required_position(&self, id: WorkId) -> Option<LogPoint> {
+    pub(crate) fn required_position(&self, id: WorkId) -> Option<TermPosition> {
         let request = self.requests.get(&id)?;
         let own = match request.route.freshness {
             Freshness::Session(_) => {
@@ -278,7 +278,12 @@
     }
 
     /// Chooses the least loaded replica that holds or probably holds the position.
-    fn choose_replica(&self, id: WorkId, cluster: &Name, after: Option<LogPoint>) -> Option<Name> {
+    fn choose_replica(
+        &self,
+        id: WorkId,
+        cluster: &Name,
+        after: Option<TermPosition>,
+    ) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let state = self.clusters.get(cluster)?;
         let leader = state.proof.leader();
@@ -315,7 +320,7 @@
         &mut self,
         id: WorkId,
         name: Name,
-        after: Option<LogPoint>,
+        after: Option<TermPosition>,
         proof_time: Option<Micros>,
     ) {
         let now = self.now;
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -11,7 +11,7 @@
 use model::{FastMap, Micros, Name};
 
 use crate::action::{ClientReply, GateAction};
-use crate::backend::{BackendCommand, LogPoint};
+use crate::backend::{BackendCommand, TermPosition};
 use crate::database::CommandPurpose;
 use crate::event::{ConnectionId, SessionId, SessionOrigin};
 use crate::request::{RequestKind, WorkId};
@@ -54,7 +54,7 @@
     pub(crate) values: BTreeMap<Name, Name>,
     pub(crate) prepared: FastMap<Name, (StatementAccess, Name)>,
     /// Position of the session's last commit, by cluster.
-    pub(crate) commit_positions: FastMap<Name, LogPoint>,
+    pub(crate) commit_positions: FastMap<Name, TermPosition>,
     pub(crate) transaction: Transaction,
     pub(crate) active_request: Option<WorkId>,
     pub(crate) origin: SessionOrigin,
@@ -273,10 +273,15 @@
         self.reply(session, ClientReply::Failed { code, text: text.to_string() }, None);
     }
 
-    pub(crate) fn reply(&mut self, id: SessionId, reply: ClientReply, point: Option<LogPoint>) {
+    pub(crate) fn reply(
+        &mut self,
+        id: SessionId,
+        reply: ClientReply,
+        position: Option<TermPosition>,
+    ) {
         let Some(session) = self.sessions.get(&id) else { return };
         let state = session.state();
-        self.out.push(GateAction::Reply { session: id, reply, state, point });
+        self.out.push(GateAction::Reply { session: id, reply, state, position });
     }
 
     /// Ends transactions that were idle for too long, so that they do not hold connections.
--- a/crates/gate/src/statement.rs
+++ b/crates/gate/src/statement.rs
@@ -2,7 +2,7 @@
 
 use model::Name;
 
-use crate::backend::LogPoint;
+use crate::backend::TermPosition;
 
 /// Whether a prepared statement reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -50,7 +50,7 @@
     pub text: Name,
     pub statement: Statement,
     /// Required position of a read; only set by other nodes.
-    pub after: Option<LogPoint>,
+    pub after: Option<TermPosition>,
 }
 
 /// Transaction state that is sent to the client with each reply.
--- a/crates/gate/tests/forwarding.rs
+++ b/crates/gate/tests/forwarding.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use gate::{GateAction, GateEvent, LogPoint, NodeRole, SessionOrigin};
+use gate::{GateAction, GateEvent, NodeRole, SessionOrigin, TermPosition};
 use model::{Micros, Name, Term};
 use support::single_gate::{NodeEntry, SingleGate};
 use support::{BOUNDED, LATEST, SESSION, Simulation};
@@ -24,10 +24,10 @@
     simulation.run(millis(200));
     simulation.database("b").replication_stopped = true;
     simulation.database("c").replication_stopped = true;
-    let point = LogPoint { term: Term(1), number: 11 };
-    simulation.database("a").received = point;
+    let position = TermPosition { term: Term(1), position: 11 };
+    simulation.database("a").received = position;
     let session = simulation.open_as(0, SESSION, SessionOrigin::Peer);
-    simulation.send_request_after(0, session, "begin", "BEGIN READ", Some(point));
+    simulation.send_request_after(0, session, "begin", "BEGIN READ", Some(position));
     simulation.send_request(0, session, "r1", "READ 1");
     simulation.run(millis(300));
     assert_eq!(simulation.outcome(session), "served");
@@ -61,7 +61,7 @@
 fn send_read(forwarding_gate: &mut SingleGate) -> Name {
     forwarding_gate.read(1, BOUNDED);
     let (connection, owner) = forwarding_gate.take_opened().remove(0);
-    forwarding_gate.event(GateEvent::ConnectionOpened { connection, point: None });
+    forwarding_gate.event(GateEvent::ConnectionOpened { connection, position: None });
     owner
 }
 
@@ -76,7 +76,7 @@
         forwarding_gate.run(millis(220));
         for (connection, database) in forwarding_gate.take_opened() {
             assert_eq!(database, owner, "only probes");
-            forwarding_gate.event(GateEvent::ConnectionOpened { connection, point: None });
+            forwarding_gate.event(GateEvent::ConnectionOpened { connection, position: None });
         }
     }
 }
@@ -104,7 +104,7 @@
     forwarding_gate.run(millis(80));
     assert_ne!(forwarding_gate.take_opened()[0].1, owner, "the read is sent to another owner");
     for (connection, _) in probes {
-        forwarding_gate.event(GateEvent::ConnectionOpened { connection, point: None });
+        forwarding_gate.event(GateEvent::ConnectionOpened { connection, position: None });
     }
     forwarding_gate.run(millis(20));
     forwarding_gate.take_opened();
--- a/crates/gate/tests/leadership.rs
+++ b/crates/gate/tests/leadership.rs
@@ -113,7 +113,7 @@
     simulation.database("a").unreachable = true;
     run_with_load(&mut simulation, millis(2_500));
     assert_eq!(&*simulation.promotions[0].1, "c");
-    assert_eq!(simulation.databases["c"].received.number, 15);
+    assert_eq!(simulation.databases["c"].received.position, 15);
 }
 
 /// A third of the nodes lose the primary, as when one data centre is cut off.
@@ -359,7 +359,7 @@
     }
     // The new replica receives one more commit while the fences are being set.
     simulation.run(millis(30));
-    late.received.number += 5;
+    late.received.position += 5;
     late.ran.clear();
     simulation.databases.insert("d".into(), late);
     simulation.run(millis(20));
--- a/crates/gate/tests/leadership_proof.rs
+++ b/crates/gate/tests/leadership_proof.rs
@@ -1,13 +1,13 @@
 //! Proof that a primary leads.
 
-use gate::{DatabaseReport, DatabaseRole, LeadershipProof, LogPoint};
+use gate::{DatabaseReport, DatabaseRole, LeadershipProof, TermPosition};
 use model::{Micros, Name, Term};
 
-fn report(role: DatabaseRole, term: u64, number: u64) -> DatabaseReport {
+fn report(role: DatabaseRole, term: u64, position: u64) -> DatabaseReport {
     DatabaseReport {
         role,
         term: Term(term),
-        received: LogPoint { term: Term(term), number },
+        received: TermPosition { term: Term(term), position },
         fence: Term(0),
         lag: Micros::ZERO,
         connections: 1,
@@ -24,8 +24,8 @@
     proof.report(&replica, Micros(20), &report(DatabaseRole::Replica, 1, 5));
     assert!(proof.proves(&old, Micros(20)));
     // A position that the node saw while it reached only the old primary.
-    let point = LogPoint { term: Term(1), number: 9 };
-    proof.observe_leader_position(&old, Micros(500_000), point);
+    let position = TermPosition { term: Term(1), position: 9 };
+    proof.observe_leader_position(&old, Micros(500_000), position);
     proof.report(&old, Micros(600_000), &report(DatabaseRole::Replica, 1, 9));
     assert_eq!(proof.leader(), None);
     assert_eq!(proof.proved_position(Micros(400_000)), None, "the position is not proved");
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -37,7 +37,7 @@
 pub struct FakeDatabase {
     pub role: DatabaseRole,
     pub term: Term,
-    pub received: LogPoint,
+    pub received: TermPosition,
     pub fence: Term,
     pub unreachable: bool,
     /// Accepts connections but does not answer.
@@ -52,7 +52,7 @@
     pub loses_answers: bool,
     slot_free: Micros,
     /// Statements in execution order, with the position of the log.
-    pub ran: Vec<(Name, LogPoint)>,
+    pub ran: Vec<(Name, TermPosition)>,
     pub reports: usize,
 }
 
@@ -96,7 +96,7 @@
     pub ready: Vec<bool>,
     pub promotions: Vec<(Micros, Name, u64)>,
     pub renewing: BTreeSet<usize>,
-    /// Role and number of each node's registration.
+    /// Role and role changes of each node's registration.
     registered: Vec<(NodeRole, u64)>,
     pub stopped: BTreeSet<usize>,
     pub closed: BTreeSet<SessionId>,
@@ -181,7 +181,7 @@
             let database = FakeDatabase {
                 role,
                 term: Term(1),
-                received: LogPoint { term: Term(1), number: 10 },
+                received: TermPosition { term: Term(1), position: 10 },
                 fence: Term(0),
                 unreachable: false,
                 hung: false,
@@ -331,7 +331,7 @@
                 let event = if state.connections_refused {
                     GateEvent::ConnectionRefused { connection, code: ErrorCode::TooManyConnections }
                 } else {
-                    GateEvent::ConnectionOpened { connection, point: Some(state.received) }
+                    GateEvent::ConnectionOpened { connection, position: Some(state.received) }
                 };
                 self.schedule(Micros::from_millis(14), Delivery::Gate(gate, event));
             }
@@ -512,7 +512,7 @@
         let mut report = None;
         let (rows, end) = match command {
             BackendCommand::Run { id, text, after } => {
-                if after.is_some_and(|point| point > state.received) {
+                if after.is_some_and(|position| position > state.received) {
                     failed(ErrorCode::Lagging)
                 } else if text.starts_with("WRITE") || text.starts_with("COMMIT") {
                     if state.role == DatabaseRole::Replica {
@@ -555,14 +555,14 @@
             }
             _ => done(Vec::new()),
         };
-        let point = Some(self.databases[name].received);
-        Some(BackendAnswer { rows, end, state: SessionState::Idle, point, report })
+        let position = Some(self.databases[name].received);
+        Some(BackendAnswer { rows, end, state: SessionState::Idle, position, report })
     }
 
     /// Commits at a primary if a replica of its term receives the commit.
     fn commit(&mut self, name: &Name) -> Option<()> {
         let term = self.databases[name].term;
-        let point = LogPoint { term, number: self.databases[name].received.number + 1 };
+        let position = TermPosition { term, position: self.databases[name].received.position + 1 };
         let mut received = false;
         for (other, database) in &mut self.databases {
             let follows = other != name
@@ -571,11 +571,11 @@
                 && database.fence <= database.term
                 && database.term == term;
             if follows {
-                database.received = point;
+                database.received = position;
                 received = true;
             }
         }
-        received.then(|| self.database(name).received = point)
+        received.then(|| self.database(name).received = position)
     }
 
     pub fn report(&self, name: &Name) -> DatabaseReport {
@@ -615,7 +615,7 @@
         session: SessionId,
         id: &str,
         text: &str,
-        after: Option<LogPoint>,
+        after: Option<TermPosition>,
     ) {
         let statement = match text.split(' ').next().unwrap_or_default() {
             "BEGIN" => Statement::Begin { read_only: text.ends_with("READ") },
