--- a/crates/gate/src/backend.rs
+++ b/crates/gate/src/backend.rs
@@ -21,18 +21,19 @@
 /// A command to a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendCommand {
-    /// A client's statement, unchanged. With `after`, it runs only if the log holds this position.
+    /// A client's statement, unchanged. With `required_position`, it runs only if
+    /// the log holds this position.
     Run {
         id: Name,
         text: Name,
-        after: Option<TermPosition>,
+        required_position: Option<TermPosition>,
     },
     /// Execution of a client's prepared statement under this proxy's name for it.
     Execute {
         id: Name,
         prepared: Name,
         arguments: Name,
-        after: Option<TermPosition>,
+        required_position: Option<TermPosition>,
     },
     /// Ends the open transaction without effect.
     Rollback,
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -69,14 +69,15 @@
         request.stage = RequestStage::Sent;
         match request.kind.clone() {
             RequestKind::Begin { begin, .. } => {
-                let after = request.after;
+                let required_position = request.required_position;
                 let session = request.session;
                 let Some(setup) = self.setup_commands(session, connection) else { return };
                 self.send(connection, setup, CommandPurpose::Setup);
                 if let Some(state) = self.connections.get_mut(&connection) {
                     state.transaction_session = Some(session);
                 }
-                let command = BackendCommand::Run { id: begin.id, text: begin.text, after };
+                let command =
+                    BackendCommand::Run { id: begin.id, text: begin.text, required_position };
                 self.send(connection, vec![command], CommandPurpose::Begin(id));
             }
             RequestKind::Read | RequestKind::Write | RequestKind::Continue => {
@@ -105,7 +106,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.sent = Some(self.now);
         request.stage = RequestStage::Sent;
-        let after = if outside_transaction { request.after } else { None };
+        let required_position = if outside_transaction { request.required_position } else { None };
         let (session, client_request) = (request.session, request.client_request.clone());
         let Some(mut setup) = self.setup_commands(session, connection) else { return };
         let command = match &client_request.statement {
@@ -118,9 +119,18 @@
                 };
                 let prepared = state.prepare(*access, shape, &mut setup);
                 let arguments = arguments.clone();
-                BackendCommand::Execute { id: client_request.id, prepared, arguments, after }
+                BackendCommand::Execute {
+                    id: client_request.id,
+                    prepared,
+                    arguments,
+                    required_position,
+                }
             }
-            _ => BackendCommand::Run { id: client_request.id, text: client_request.text, after },
+            _ => BackendCommand::Run {
+                id: client_request.id,
+                text: client_request.text,
+                required_position,
+            },
         };
         self.send(connection, setup, CommandPurpose::Setup);
         self.send(connection, vec![command], CommandPurpose::Run(id));
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -83,7 +83,7 @@
     pub(crate) stage: RequestStage,
     pub(crate) database: Option<Name>,
     pub(crate) connection: Option<ConnectionId>,
-    pub(crate) after: Option<TermPosition>,
+    pub(crate) required_position: Option<TermPosition>,
     /// The leader must be proved for this time.
     pub(crate) proof_time: Option<Micros>,
     pub(crate) sent: Option<Micros>,
@@ -135,7 +135,7 @@
             stage: RequestStage::Queued,
             database: None,
             connection: None,
-            after: None,
+            required_position: None,
             proof_time: None,
             sent: None,
             tries: 0,
@@ -168,9 +168,9 @@
             && let Some(since) = since
             && let Some(position) = cluster.proof.proved_position(since)
         {
-            let after = Some(position).max(self.required_position(id));
-            if let Some(replica) = self.choose_replica(id, &route.cluster, after) {
-                return self.queue_at(id, replica, after, None);
+            let required_position = Some(position).max(self.required_position(id));
+            if let Some(replica) = self.choose_replica(id, &route.cluster, required_position) {
+                return self.queue_at(id, replica, required_position, None);
             }
         }
         let proof_time = if writes { None } else { Some(since.unwrap_or(started_at)) };
@@ -243,10 +243,10 @@
             Freshness::Latest | Freshness::Bounded(_) => None,
         };
         let begin_position = match &request.kind {
-            RequestKind::Begin { begin, .. } => begin.after,
+            RequestKind::Begin { begin, .. } => begin.required_position,
             RequestKind::Read | RequestKind::Write | RequestKind::Continue => None,
         };
-        own.copied().max(request.client_request.after).max(begin_position)
+        own.copied().max(request.client_request.required_position).max(begin_position)
     }
 
     /// Returns true if a replica could provide proof that the leader leads.
@@ -282,7 +282,7 @@
         &self,
         id: WorkId,
         cluster: &Name,
-        after: Option<TermPosition>,
+        required_position: Option<TermPosition>,
     ) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let state = self.clusters.get(cluster)?;
@@ -295,7 +295,7 @@
                 || !database.is_usable(self.now)
                 || database.listed.leaving
                 || request.excluded.contains(name)
-                || database.lacks_position(self.now, after)
+                || database.lacks_position(self.now, required_position)
                 || database.has_no_connection(self.now)
             {
                 continue;
@@ -320,14 +320,14 @@
         &mut self,
         id: WorkId,
         name: Name,
-        after: Option<TermPosition>,
+        required_position: Option<TermPosition>,
         proof_time: Option<Micros>,
     ) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(database) = self.databases.get_mut(&name) else { return };
         request.database = Some(name.clone());
-        request.after = after;
+        request.required_position = required_position;
         request.proof_time = proof_time;
         request.stage = RequestStage::Queued;
         let ticket = WorkTicket {
--- a/crates/gate/src/statement.rs
+++ b/crates/gate/src/statement.rs
@@ -49,8 +49,8 @@
     /// The statement as the client wrote it; passed on unchanged except for prepared names.
     pub text: Name,
     pub statement: Statement,
-    /// Required position of a read; only set by other nodes.
-    pub after: Option<TermPosition>,
+    /// Log position that a read requires; only set by other nodes.
+    pub required_position: Option<TermPosition>,
 }
 
 /// Transaction state that is sent to the client with each reply.
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -511,8 +511,8 @@
         let state = self.databases[name].clone();
         let mut report = None;
         let (rows, end) = match command {
-            BackendCommand::Run { id, text, after } => {
-                if after.is_some_and(|position| position > state.received) {
+            BackendCommand::Run { id, text, required_position } => {
+                if required_position.is_some_and(|position| position > state.received) {
                     failed(ErrorCode::Lagging)
                 } else if text.starts_with("WRITE") || text.starts_with("COMMIT") {
                     if state.role == DatabaseRole::Replica {
@@ -615,7 +615,7 @@
         session: SessionId,
         id: &str,
         text: &str,
-        after: Option<TermPosition>,
+        required_position: Option<TermPosition>,
     ) {
         let statement = match text.split(' ').next().unwrap_or_default() {
             "BEGIN" => Statement::Begin { read_only: text.ends_with("READ") },
@@ -624,7 +624,8 @@
             "WRITE" => Statement::Write,
             _ => Statement::Read,
         };
-        let request = ClientRequest { id: id.into(), text: text.into(), statement, after };
+        let request =
+            ClientRequest { id: id.into(), text: text.into(), statement, required_position };
         self.event(gate, GateEvent::RequestArrived { session, request });
     }
 
--- a/crates/gate/tests/support/single_gate.rs
+++ b/crates/gate/tests/support/single_gate.rs
@@ -85,7 +85,8 @@
         let (database, origin) = (route.into(), SessionOrigin::Client);
         self.event(GateEvent::SessionOpened { session, database, origin });
         let (id, text) = (Name::from(format!("r{number}")), Name::from("READ 1"));
-        let request = ClientRequest { id, text, statement: Statement::Read, after: None };
+        let request =
+            ClientRequest { id, text, statement: Statement::Read, required_position: None };
         self.event(GateEvent::RequestArrived { session, request });
     }
 
