--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -331,7 +331,9 @@
                 "session" => request.session.0,
                 "route" => &request.route.name,
                 "database" => request.database.clone().unwrap_or_default().to_string(),
-                "after" => request.required_position.map_or_else(String::new, |position| position.to_string()),
+                "after" => request
+                    .required_position
+                    .map_or_else(String::new, |position| position.to_string()),
                 "version" => self.table.version,
                 "term" => proof.map_or(0, |proof| proof.term().0),
                 "proof_age_ms" => proof_age,
