--- a/crates/edge/src/codec.rs
+++ b/crates/edge/src/codec.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 use gate::{
-    BackendCommand, ClientReply, ClientRequest, DatabaseReport, ErrorCode, SessionState,
-    TermPosition,
+    BackendCommand, ClientReply, ClientRequest, DatabaseReport, ErrorCode, TermPosition,
+    TransactionState,
 };
 use model::Name;
 
@@ -28,7 +28,7 @@
     Row(Bytes),
     Done(Bytes),
     Error { code: ErrorCode, text: String },
-    Ready { state: SessionState, position: Option<TermPosition> },
+    Ready { state: TransactionState, position: Option<TermPosition> },
 }
 
 /// Input that cannot be a message; the connection must be closed.
@@ -66,7 +66,7 @@
     /// Writes the answer to a request. `position` is given only if a peer node is asking.
     fn write_reply(
         reply: &ClientReply,
-        state: SessionState,
+        state: TransactionState,
         position: Option<TermPosition>,
         output: &mut BytesMut,
     );
--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use gate::{
     AnswerEnd, BackendAnswer, BackendCommand, ConnectionId, ErrorCode, Gate, GateAction, GateEvent,
-    SessionId, SessionOrigin, SessionState, TIMER_INTERVAL,
+    SessionId, SessionOrigin, TIMER_INTERVAL, TransactionState,
 };
 use model::{FastMap, Name};
 use signal_hook::iterator::Signals;
@@ -50,7 +50,7 @@
     busy: bool,
     /// Close the connection once the output is written.
     closing: bool,
-    state: SessionState,
+    state: TransactionState,
 }
 
 /// A connection to a database.
@@ -337,7 +337,7 @@
                         origin,
                         busy: false,
                         closing: false,
-                        state: SessionState::Idle,
+                        state: TransactionState::Idle,
                     };
                     self.clients.insert(id, client);
                     self.read_client(cx, id);
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -7,7 +7,7 @@
 
 use crate::backend::{BackendCommand, TermPosition};
 use crate::event::{ConnectionId, NodeRole, SessionId};
-use crate::statement::{ErrorCode, SessionState};
+use crate::statement::{ErrorCode, TransactionState};
 
 /// Answer to a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     Reply {
         session: SessionId,
         reply: ClientReply,
-        state: SessionState,
+        state: TransactionState,
         /// Position of the session's last commit, for other nodes.
         position: Option<TermPosition>,
     },
--- a/crates/gate/src/backend.rs
+++ b/crates/gate/src/backend.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use model::{DatabaseRole, Micros, Name, Term};
 
-use crate::statement::{ErrorCode, SessionState, StatementAccess};
+use crate::statement::{ErrorCode, StatementAccess, TransactionState};
 
 /// A term and a position in a cluster's log, ordered by term first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -68,7 +68,7 @@
 pub struct BackendAnswer {
     pub rows: Vec<Bytes>,
     pub end: AnswerEnd,
-    pub state: SessionState,
+    pub state: TransactionState,
     /// Log position that the database has applied.
     pub position: Option<TermPosition>,
     /// Set for answers to commands that request a report.
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -8,7 +8,7 @@
 use crate::database::{BackendConnection, CommandPurpose, PendingCommand, steady_share};
 use crate::event::ConnectionId;
 use crate::request::WorkId;
-use crate::statement::{ErrorCode, SessionState};
+use crate::statement::{ErrorCode, TransactionState};
 use crate::{Gate, fields};
 
 /// Timeout for opening a connection, including a handshake behind a full queue.
@@ -341,7 +341,7 @@
     fn abandoned_statement_answered(&mut self, connection: ConnectionId, answer: &BackendAnswer) {
         let Some(state) = self.connections.get_mut(&connection) else { return };
         state.transaction_session = None;
-        if answer.state != SessionState::Idle && state.pending.is_empty() {
+        if answer.state != TransactionState::Idle && state.pending.is_empty() {
             self.send(connection, vec![BackendCommand::Rollback], CommandPurpose::Rollback);
         }
     }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -7,7 +7,7 @@
 use model::Micros;
 
 use crate::session::Transaction;
-use crate::statement::SessionState;
+use crate::statement::TransactionState;
 use crate::{Gate, GateAction, fields};
 
 /// Time after which the load balancer has removed the node: two probes, a second apart, and one
@@ -57,7 +57,7 @@
                 .sessions
                 .iter()
                 .filter(|(_, session)| {
-                    session.active_request.is_none() && session.state() == SessionState::Open
+                    session.active_request.is_none() && session.state() == TransactionState::Open
                 })
                 .map(|(id, _)| *id)
                 .collect();
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -66,7 +66,7 @@
 pub use registry::NodeRecord;
 pub use route::{ClusterLimits, Freshness, RouteConfig, RouteTable};
 pub use settings::GateSettings;
-pub use statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
+pub use statement::{ClientRequest, ErrorCode, Statement, StatementAccess, TransactionState};
 
 use cluster::ClusterState;
 use database::{BackendConnection, Database};
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -13,7 +13,7 @@
     ActiveRequest, MAX_TRIES, OVERLOADED_TEXT, RequestKind, RequestStage, WorkId,
 };
 use crate::session::{OpenTransaction, Transaction};
-use crate::statement::{ErrorCode, SessionState, StatementAccess};
+use crate::statement::{ErrorCode, StatementAccess, TransactionState};
 use crate::{Gate, fields};
 
 /// A read is sent to another database after this many times the usual latency of its database,
@@ -178,7 +178,7 @@
             matches!(request.kind, RequestKind::Begin { .. } | RequestKind::Continue);
         let commit = request.is_commit();
         if commit
-            && answer.state == SessionState::Idle
+            && answer.state == TransactionState::Idle
             && let Some(state) = self.connections.get_mut(&connection)
         {
             state.transaction_session = None;
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -16,7 +16,7 @@
 use crate::event::{ConnectionId, SessionId, SessionOrigin};
 use crate::request::{RequestKind, WorkId};
 use crate::route::{Freshness, RouteConfig};
-use crate::statement::{ClientRequest, ErrorCode, SessionState, Statement, StatementAccess};
+use crate::statement::{ClientRequest, ErrorCode, Statement, StatementAccess, TransactionState};
 use crate::{Gate, fields};
 
 /// Maximum number of prepared statements, and of values, of one session; more are refused.
@@ -61,11 +61,11 @@
 }
 
 impl Session {
-    pub(crate) fn state(&self) -> SessionState {
+    pub(crate) fn state(&self) -> TransactionState {
         match self.transaction {
-            Transaction::None => SessionState::Idle,
-            Transaction::Pending { .. } | Transaction::Open(_) => SessionState::Open,
-            Transaction::Failed => SessionState::Failed,
+            Transaction::None => TransactionState::Idle,
+            Transaction::Pending { .. } | Transaction::Open(_) => TransactionState::Open,
+            Transaction::Failed => TransactionState::Failed,
         }
     }
 
@@ -146,7 +146,7 @@
             return;
         }
         let state = session.state();
-        if state == SessionState::Failed
+        if state == TransactionState::Failed
             && !matches!(request.statement, Statement::Commit | Statement::Rollback)
         {
             return self.reply_error(id, ErrorCode::Malformed, "the transaction has failed");
@@ -200,7 +200,7 @@
 
     fn begin(&mut self, id: SessionId, request: ClientRequest, read_only: bool) {
         let Some(session) = self.sessions.get(&id) else { return };
-        if session.state() != SessionState::Idle {
+        if session.state() != TransactionState::Idle {
             return self.reply_error(id, ErrorCode::Malformed, "a transaction is open already");
         }
         let Some(route) = self.current_route(id) else { return };
--- a/crates/gate/src/statement.rs
+++ b/crates/gate/src/statement.rs
@@ -55,7 +55,7 @@
 
 /// Transaction state that is sent to the client with each reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum SessionState {
+pub enum TransactionState {
     #[default]
     Idle,
     Open,
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -556,7 +556,7 @@
             _ => done(Vec::new()),
         };
         let position = Some(self.databases[name].received);
-        Some(BackendAnswer { rows, end, state: SessionState::Idle, position, report })
+        Some(BackendAnswer { rows, end, state: TransactionState::Idle, position, report })
     }
 
     /// Commits at a primary if a replica of its term receives the commit.
