--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -265,7 +265,7 @@
                 self.store.publish_registration(role, role_changes, bytes);
             }
             GateAction::WriteNodeCount { bytes } => self.store.write_node_count(bytes),
-            GateAction::ReadState => self.store.read_state(),
+            GateAction::ReadStoreState => self.store.read_state(),
             GateAction::EndLease { node, lease } => self.store.end_lease(node, lease),
             GateAction::Promote { cluster, database, holder, fencing_token } => {
                 self.store.promote(cluster, database, holder, fencing_token);
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -257,7 +257,7 @@
                     None
                 }
             };
-            events.send(GateEvent::StateRead { state });
+            events.send(GateEvent::StoreStateRead { state });
         });
     }
 
@@ -271,7 +271,7 @@
                     false
                 }
             };
-            events.send(GateEvent::LeaseEnded { node, ended });
+            events.send(GateEvent::EndLeaseAnswered { node, ended });
         });
     }
 
--- a/crates/gate/src/action.rs
+++ b/crates/gate/src/action.rs
@@ -84,7 +84,7 @@
         bytes: Vec<u8>,
     },
     /// Read the current lists of databases and documents.
-    ReadState,
+    ReadStoreState,
     /// End the lease of another node's registration.
     EndLease {
         node: Name,
--- a/crates/gate/src/event.rs
+++ b/crates/gate/src/event.rs
@@ -150,13 +150,14 @@
         attempt: u64,
         result: WriteResult,
     },
-    /// The current state that [`GateAction::ReadState`](crate::GateAction::ReadState) requested;
-    /// `None` if the store did not answer.
-    StateRead {
+    /// The current state that
+    /// [`GateAction::ReadStoreState`](crate::GateAction::ReadStoreState) requested; `None` if the
+    /// store did not answer.
+    StoreStateRead {
         state: Option<StoreState>,
     },
-    /// Another node's lease has ended, or the call failed.
-    LeaseEnded {
+    /// Another node's lease has ended, or, if `ended` is false, the call failed.
+    EndLeaseAnswered {
         node: Name,
         ended: bool,
     },
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -246,7 +246,7 @@
             FailoverStage::Listing | FailoverStage::Relisting | FailoverStage::FinalListing => {
                 if !in_flight || may_retry {
                     self.record_step(cluster);
-                    self.out.push(GateAction::ReadState);
+                    self.out.push(GateAction::ReadStoreState);
                 }
             }
             FailoverStage::Demoting => {
@@ -316,7 +316,7 @@
     }
 
     /// Processes the state of the store; `None` means that the store did not answer.
-    pub(crate) fn state_read(&mut self, state: Option<StoreState>) {
+    pub(crate) fn store_state_read(&mut self, state: Option<StoreState>) {
         let clusters: Vec<Name> = self.failovers.running.keys().cloned().collect();
         let Some(StoreState { databases, documents }) = state else {
             for failover in self.failovers.running.values_mut() {
@@ -409,7 +409,7 @@
 
     /// Records that another node's lease has ended; its read lease runs out within
     /// [`READ_LEASE_TTL`].
-    pub(crate) fn lease_ended(&mut self, node: &Name, ended: bool) {
+    pub(crate) fn end_lease_answered(&mut self, node: &Name, ended: bool) {
         let now = self.now;
         self.log("lease_ended", fields!["node" => node, "ended" => ended]);
         for failover in self.failovers.running.values_mut() {
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -211,8 +211,8 @@
             GateEvent::PromotionLeaseWritten { attempt, result } => {
                 self.promotion_lease_written(attempt, result)
             }
-            GateEvent::StateRead { state } => self.state_read(state),
-            GateEvent::LeaseEnded { node, ended } => self.lease_ended(&node, ended),
+            GateEvent::StoreStateRead { state } => self.store_state_read(state),
+            GateEvent::EndLeaseAnswered { node, ended } => self.end_lease_answered(&node, ended),
             GateEvent::ReadLeaseRenewed { sent, role_changes } => {
                 self.read_lease_renewed(sent, role_changes);
             }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -382,11 +382,11 @@
                     self.store(Document::NodeCount, bytes);
                 }
             }
-            GateAction::ReadState => {
+            GateAction::ReadStoreState => {
                 if !self.store_cut.contains(&gate) {
                     let documents = self.documents.values().cloned().collect();
                     let state = Some(StoreState { databases: self.listed(), documents });
-                    let event = GateEvent::StateRead { state };
+                    let event = GateEvent::StoreStateRead { state };
                     self.schedule(Micros::from_millis(5), Delivery::Gate(gate, event));
                 }
             }
@@ -394,7 +394,7 @@
                 if let Some(index) = self.names.iter().position(|name| *name == node) {
                     self.renewing.remove(&index);
                 }
-                let event = GateEvent::LeaseEnded { node, ended: true };
+                let event = GateEvent::EndLeaseAnswered { node, ended: true };
                 self.schedule(Micros::from_millis(5), Delivery::Gate(gate, event));
             }
             GateAction::Promote { cluster, database, fencing_token, .. } => {
