--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -54,7 +54,7 @@
     /// steady state.
     fn steady_connections(&self, cluster: &Name) -> u32 {
         let limits = self.table.clusters.get(cluster);
-        let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.connections);
+        let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.max_connections);
         steady_share(connections, self.sharing_node_count(cluster))
     }
 
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -250,7 +250,8 @@
         }
         let wait = self.queue.expected_wait(now, route.rank);
         let service = self.queue.service_time(&route.name);
-        wait + Micros(wait.0 / WAIT_MARGIN_DIVISOR) + service > route.target && wait > service
+        wait + Micros(wait.0 / WAIT_MARGIN_DIVISOR) + service > route.target_latency
+            && wait > service
     }
 
     /// Returns the time that a further request is expected to take.
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -38,7 +38,7 @@
             return;
         }
         self.drain.since = Some(self.now);
-        self.drain.grace = self.settings.grace;
+        self.drain.grace = self.settings.shutdown_grace;
         let sessions = u64::try_from(self.sessions.len()).unwrap_or(u64::MAX);
         self.log("drain_started", fields!["sessions" => sessions]);
         self.update_owners();
@@ -51,7 +51,7 @@
         if self.drain.complete {
             return;
         }
-        let grace = self.settings.grace;
+        let grace = self.settings.shutdown_grace;
         if now >= since + Micros(grace.0 / 2) {
             let open: Vec<_> = self
                 .sessions
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -14,7 +14,7 @@
     /// # let settings = gate::GateSettings {
     /// #     node: "n1".into(), data_centre: "dc1".into(), capacity: 250, peer_address: None,
     /// #     incarnation: 1,
-    /// #     grace: model::Micros::from_secs(6),
+    /// #     shutdown_grace: model::Micros::from_secs(6),
     /// # };
     /// let gate = gate::Gate::new(settings);
     /// assert_eq!(gate.dump()["node"], "n1");
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -134,7 +134,7 @@
     ///     capacity: 250,
     ///     peer_address: None,
     ///     incarnation: 1,
-    ///     grace: Micros::from_secs(6),
+    ///     shutdown_grace: Micros::from_secs(6),
     /// });
     /// let mut actions = Vec::new();
     /// gate.handle(Micros::ZERO, GateEvent::Timer, &mut actions);
--- a/crates/gate/src/owners.rs
+++ b/crates/gate/src/owners.rs
@@ -169,7 +169,8 @@
         let leaving = self.drain.since.is_some();
         let nodes = self.registry.members(centre, capacity, leaving);
         let clusters = self.table.clusters.iter();
-        let clusters = clusters.map(|(name, limits)| (name.clone(), limits.connections)).collect();
+        let clusters =
+            clusters.map(|(name, limits)| (name.clone(), limits.max_connections)).collect();
         if !self.owners.update(OwnerInput { nodes, clusters }) {
             return;
         }
--- a/crates/gate/src/route.rs
+++ b/crates/gate/src/route.rs
@@ -25,7 +25,7 @@
     /// Time limit of a single statement.
     pub timeout: Micros,
     /// Latency objective of a whole operation.
-    pub target: Micros,
+    pub target_latency: Micros,
     pub rank: Rank,
 }
 
@@ -34,7 +34,7 @@
 pub struct ClusterLimits {
     pub name: Name,
     /// Connections that each database accepts from all nodes together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Replicas that must have received a commit before it is acknowledged.
     pub sync_replicas: u32,
 }
@@ -47,5 +47,5 @@
     pub routes: FastMap<Name, Arc<RouteConfig>>,
     pub clusters: FastMap<Name, ClusterLimits>,
     /// Time after which an idle transaction may be ended.
-    pub idle_transaction: Option<Micros>,
+    pub idle_transaction_timeout: Option<Micros>,
 }
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -286,7 +286,7 @@
 
     /// Ends transactions that were idle for too long, so that they do not hold connections.
     pub(crate) fn end_idle_transactions(&mut self) {
-        let Some(limit) = self.table.idle_transaction else { return };
+        let Some(limit) = self.table.idle_transaction_timeout else { return };
         let now = self.now;
         let expired: Vec<SessionId> = self
             .sessions
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -16,5 +16,5 @@
     /// Distinguishes processes that ran under the same name.
     pub incarnation: u64,
     /// Time between SIGTERM and SIGKILL.
-    pub grace: Micros,
+    pub shutdown_grace: Micros,
 }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -126,7 +126,8 @@
 
 pub fn route_table(connections: u32) -> RouteTable {
     let mut table = RouteTable { version: 1, ..RouteTable::default() };
-    let limits = ClusterLimits { name: CLUSTER.into(), connections, sync_replicas: 1 };
+    let limits =
+        ClusterLimits { name: CLUSTER.into(), max_connections: connections, sync_replicas: 1 };
     table.clusters.insert(CLUSTER.into(), limits);
     let ages = [
         (LATEST, Freshness::Latest, Rank::Urgent),
@@ -140,12 +141,12 @@
             cluster: CLUSTER.into(),
             freshness,
             timeout: Micros::from_millis(800),
-            target: Micros::from_millis(400),
+            target_latency: Micros::from_millis(400),
             rank,
         };
         table.routes.insert(database.into(), Arc::new(route));
     }
-    table.idle_transaction = Some(Micros::from_millis(3_000));
+    table.idle_transaction_timeout = Some(Micros::from_millis(3_000));
     table
 }
 
@@ -171,7 +172,7 @@
                     capacity: 250,
                     peer_address: None,
                     incarnation: 1,
-                    grace: Micros::from_secs(6),
+                    shutdown_grace: Micros::from_secs(6),
                 })
             })
             .collect();
--- a/crates/gate/tests/support/single_gate.rs
+++ b/crates/gate/tests/support/single_gate.rs
@@ -58,7 +58,7 @@
             capacity,
             peer_address: None,
             incarnation: 1,
-            grace: Micros::from_secs(6),
+            shutdown_grace: Micros::from_secs(6),
         });
         let mut single = SingleGate { gate, now: Micros::ZERO, actions: Vec::new() };
         single.event(GateEvent::RoutesChanged(Box::new(route_table(CONNECTIONS))));
