--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -266,13 +266,13 @@
     pub(crate) fn report_answered(
         &mut self,
         connection: ConnectionId,
-        asked: Micros,
+        requested_at: Micros,
         answer: &BackendAnswer,
     ) {
         let Some(state) = self.connections.get(&connection) else { return };
         let (name, cluster) = (state.database.clone(), state.cluster.clone());
         let Some(database) = self.databases.get_mut(&name) else { return };
-        if database.report_requested_at == Some(asked) {
+        if database.report_requested_at == Some(requested_at) {
             database.report_requested_at = None;
         }
         let Some(report) = answer.report else {
@@ -287,7 +287,7 @@
         database.report = Some(report);
         database.last_report_at = Some(self.now);
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
-        let changed = state.proof.report(&name, asked, &report);
+        let changed = state.proof.observe_report(&name, requested_at, &report);
         if state.proof.confirmed_at() >= state.needed_proof_time {
             state.needed_proof_time = None;
             state.proof_failed_at = None;
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -47,14 +47,14 @@
 const STARTUP_GRACE: Micros = Micros::from_millis(3_000);
 
 /// Connection limit of a database without a configured limit.
-const DEFAULT_CONNECTIONS: u32 = 8;
+const DEFAULT_MAX_CONNECTIONS: u32 = 8;
 
 impl Gate {
     /// Returns the number of connections to each of a cluster's databases that this node keeps in a
     /// steady state.
     fn steady_connections(&self, cluster: &Name) -> u32 {
         let limits = self.table.clusters.get(cluster);
-        let connections = limits.map_or(DEFAULT_CONNECTIONS, |limits| limits.max_connections);
+        let connections = limits.map_or(DEFAULT_MAX_CONNECTIONS, |limits| limits.max_connections);
         steady_share(connections, self.sharing_node_count(cluster))
     }
 
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -186,7 +186,7 @@
             failover.fenced.clear();
         }
         if let Some(state) = self.clusters.get_mut(&cluster) {
-            state.proof.report(&name, sent, &report);
+            state.proof.observe_report(&name, sent, &report);
         }
         self.step_failover(&cluster);
     }
--- a/crates/gate/src/leadership_proof.rs
+++ b/crates/gate/src/leadership_proof.rs
@@ -47,9 +47,9 @@
 ///     role, term: Term(3), received: position, fence: Term(0), lag: Micros::ZERO, connections: 1,
 /// };
 /// let mut proof = LeadershipProof::default();
-/// proof.report(&primary, Micros(10), &report(DatabaseRole::Primary));
+/// proof.observe_report(&primary, Micros(10), &report(DatabaseRole::Primary));
 /// assert!(!proof.proves(&primary, Micros(5)));
-/// proof.report(&replica, Micros(20), &report(DatabaseRole::Replica));
+/// proof.observe_report(&replica, Micros(20), &report(DatabaseRole::Replica));
 /// assert!(proof.proves(&primary, Micros(20)));
 /// assert_eq!(proof.proved_position(Micros(10)), Some(position));
 /// ```
@@ -94,8 +94,13 @@
         self.fenced.keys().cloned().collect()
     }
 
-    /// Processes a report that was requested at `asked`. Returns true if the leader changed.
-    pub fn report(&mut self, database: &Name, asked: Micros, report: &DatabaseReport) -> bool {
+    /// Processes a report that was requested at `requested_at`. Returns true if the leader changed.
+    pub fn observe_report(
+        &mut self,
+        database: &Name,
+        requested_at: Micros,
+        report: &DatabaseReport,
+    ) -> bool {
         if report.term < self.term {
             return false;
         }
@@ -125,7 +130,7 @@
                 self.leader = Some(database.clone());
                 self.last_leader = Some(database.clone());
                 self.term_ended = false;
-                self.observe_leader_position(database, asked, report.received);
+                self.observe_leader_position(database, requested_at, report.received);
             }
             DatabaseRole::Replica => {
                 if self.last_leader.as_ref() == Some(database) {
@@ -134,10 +139,10 @@
                     self.unproved.clear();
                 }
                 if report.fence > self.term {
-                    self.fenced.entry(database.clone()).or_insert(asked);
+                    self.fenced.entry(database.clone()).or_insert(requested_at);
                 } else {
                     self.fenced.remove(database);
-                    self.confirm_directly(asked);
+                    self.confirm_directly(requested_at);
                 }
             }
         }
--- a/crates/gate/tests/leadership_proof.rs
+++ b/crates/gate/tests/leadership_proof.rs
@@ -20,17 +20,17 @@
 fn a_former_primary_does_not_prove_its_own_term() {
     let (old, replica) = (Name::from("a"), Name::from("b"));
     let mut proof = LeadershipProof::default();
-    proof.report(&old, Micros(10), &report(DatabaseRole::Primary, 1, 5));
-    proof.report(&replica, Micros(20), &report(DatabaseRole::Replica, 1, 5));
+    proof.observe_report(&old, Micros(10), &report(DatabaseRole::Primary, 1, 5));
+    proof.observe_report(&replica, Micros(20), &report(DatabaseRole::Replica, 1, 5));
     assert!(proof.proves(&old, Micros(20)));
     // A position that the node saw while it reached only the old primary.
     let position = TermPosition { term: Term(1), position: 9 };
     proof.observe_leader_position(&old, Micros(500_000), position);
-    proof.report(&old, Micros(600_000), &report(DatabaseRole::Replica, 1, 9));
+    proof.observe_report(&old, Micros(600_000), &report(DatabaseRole::Replica, 1, 9));
     assert_eq!(proof.leader(), None);
     assert_eq!(proof.proved_position(Micros(400_000)), None, "the position is not proved");
     assert!(proof.confirmed_at() < Some(Micros(500_000)));
-    proof.report(&replica, Micros(700_000), &report(DatabaseRole::Replica, 2, 7));
-    proof.report(&replica, Micros(700_000), &report(DatabaseRole::Primary, 2, 7));
+    proof.observe_report(&replica, Micros(700_000), &report(DatabaseRole::Replica, 2, 7));
+    proof.observe_report(&replica, Micros(700_000), &report(DatabaseRole::Primary, 2, 7));
     assert_eq!(proof.leader(), Some(&replica));
 }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -124,10 +124,9 @@
     }
 }
 
-pub fn route_table(connections: u32) -> RouteTable {
+pub fn route_table(max_connections: u32) -> RouteTable {
     let mut table = RouteTable { version: 1, ..RouteTable::default() };
-    let limits =
-        ClusterLimits { name: CLUSTER.into(), max_connections: connections, sync_replicas: 1 };
+    let limits = ClusterLimits { name: CLUSTER.into(), max_connections, sync_replicas: 1 };
     table.clusters.insert(CLUSTER.into(), limits);
     let ages = [
         (LATEST, Freshness::Latest, Rank::Urgent),
