--- a/crates/gate/src/leadership_proof.rs
+++ b/crates/gate/src/leadership_proof.rs
@@ -185,7 +185,7 @@
 
     /// Records a commit at `position`, sent at `sent`, that the leader acknowledged with a
     /// synchronous replica.
-    pub fn commit_acknowledged(
+    pub fn observe_commit(
         &mut self,
         database: &Name,
         sent: Micros,
@@ -199,7 +199,7 @@
 
     /// Extends the proof to `now`: the read lease, held since `acquired`, is valid and no failover
     /// is announced.
-    pub fn read_lease_valid(&mut self, acquired: Micros, now: Micros) {
+    pub fn extend_by_read_lease(&mut self, acquired: Micros, now: Micros) {
         if self.leader.is_some() && self.directly_confirmed >= Some(acquired) {
             self.confirm(now);
         }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -338,7 +338,7 @@
             WriteResult::Written { revision } => Some(revision),
             WriteResult::Conflict | WriteResult::Failed => None,
         };
-        let held = self.promotion_lease.written(self.now, attempt, revision);
+        let held = self.promotion_lease.complete_write(self.now, attempt, revision);
         let token = self.promotion_lease.fencing_token(self.now).unwrap_or_default();
         self.log("duty_written", fields!["held" => held, "number" => token]);
         self.announcement_seen();
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -252,7 +252,7 @@
             if self.table.clusters.get(&cluster).is_some_and(|limits| limits.sync_replicas > 0)
                 && let Some(state) = self.clusters.get_mut(&cluster)
             {
-                state.proof.commit_acknowledged(&database, sent, answer.position);
+                state.proof.observe_commit(&database, sent, answer.position);
             }
         }
         self.reply_success(id, answer);
--- a/crates/gate/src/promotion_lease.rs
+++ b/crates/gate/src/promotion_lease.rs
@@ -189,7 +189,7 @@
     }
 
     /// Processes the result of a write. Returns true if this node may act now.
-    pub fn written(&mut self, now: Micros, attempt: u64, revision: Option<u64>) -> bool {
+    pub fn complete_write(&mut self, now: Micros, attempt: u64, revision: Option<u64>) -> bool {
         let Some(pending) = self.pending.take_if(|pending| pending.attempt == attempt) else {
             return false;
         };
--- a/crates/gate/src/read_lease.rs
+++ b/crates/gate/src/read_lease.rs
@@ -109,7 +109,7 @@
         if let Some(acquired) = self.read_lease_acquired()
             && let Some(state) = self.clusters.get_mut(cluster)
         {
-            state.proof.read_lease_valid(acquired.max(state.last_failover_end), now);
+            state.proof.extend_by_read_lease(acquired.max(state.last_failover_end), now);
         }
     }
 
--- a/crates/gate/tests/promotion_lease.rs
+++ b/crates/gate/tests/promotion_lease.rs
@@ -68,7 +68,7 @@
                         stored.0
                     });
                     if arrival.answered.is_some() {
-                        nodes[arrival.node].written(now, arrival.write.attempt, written);
+                        nodes[arrival.node].complete_write(now, arrival.write.attempt, written);
                     }
                     for (index, node) in nodes.iter_mut().enumerate() {
                         if !(step.misses_changes && index == step.node) && stored.0 > 0 {
@@ -115,12 +115,12 @@
     first.observe(Micros::ZERO, None);
     second.observe(Micros::ZERO, None);
     let write = first.claim(Micros::ZERO, vec!["billing".to_string()]).expect("the lease is free");
-    assert!(first.written(Micros::from_millis(5), write.attempt, Some(1)));
+    assert!(first.complete_write(Micros::from_millis(5), write.attempt, Some(1)));
     second.observe(Micros::from_millis(6), Some((1, &write.bytes)));
     assert!(second.is_held_elsewhere(Micros::from_millis(2_000)));
     let wait = Micros::from_millis(6) + LEASE_ACQUIRE_WAIT;
     let write = second.claim(wait, Vec::new()).expect("the lease has expired");
-    assert!(second.written(wait, write.attempt, Some(2)));
+    assert!(second.complete_write(wait, write.attempt, Some(2)));
     assert_eq!(second.fencing_token(wait), Some(2));
     assert_eq!(first.fencing_token(wait), None);
 }
