--- a/crates/fake/src/fakedb/control.rs
+++ b/crates/fake/src/fakedb/control.rs
@@ -41,10 +41,10 @@
                 match *action {
                     "kill" => self.kill(name)?,
                     "restart" => self.restart(name)?,
-                    "freeze" => self.change(name, |state| state.frozen = true)?,
-                    "thaw" => self.change(name, |state| state.frozen = false)?,
-                    "cut" => self.change(name, |state| state.cut = true)?,
-                    "join" => self.change(name, |state| state.cut = false)?,
+                    "freeze" => self.update(name, |state| state.frozen = true)?,
+                    "thaw" => self.update(name, |state| state.frozen = false)?,
+                    "cut" => self.update(name, |state| state.cut = true)?,
+                    "join" => self.update(name, |state| state.cut = false)?,
                     "set" => self.set(name, serde_json::from_str(&request.body)?)?,
                     _ => bail!("no action {action}"),
                 }
@@ -56,7 +56,7 @@
 
     fn set(&self, name: &str, change: DatabaseChange) -> anyhow::Result<()> {
         let time = |millis: f64| Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1e3);
-        self.change(name, |state| {
+        self.update(name, |state| {
             state.receive_delay = change.receive_ms.map_or(state.receive_delay, time);
             state.apply_lag = change.apply_ms.map_or(state.apply_lag, time);
             state.open_time = change.open_ms.map_or(state.open_time, time);
--- a/crates/fake/src/fakedb/engine.rs
+++ b/crates/fake/src/fakedb/engine.rs
@@ -1,8 +1,8 @@
 //! Executes the SQL subset on the state of one database.
 //!
-//! A statement that meets a lock of another transaction changes nothing and returns
-//! [`ExecError::Blocked`]; the connection waits and runs it again, so it sees what the other
-//! transaction committed (READ COMMITTED).
+//! A statement that needs a lock of another transaction changes nothing and returns
+//! [`ExecError::Blocked`]. The connection waits and runs it again, so it sees the changes that the
+//! other transaction committed (READ COMMITTED).
 
 mod change;
 mod describe;
@@ -26,10 +26,10 @@
 
 /// Source of hidden row numbers and serial values. It is shared by the whole process, so that a new
 /// primary never repeats a number.
-static NEXT_NUMBER: AtomicI64 = AtomicI64::new(1);
+static NEXT_SERIAL: AtomicI64 = AtomicI64::new(1);
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Field {
+pub(crate) struct ResultField {
     pub(crate) name: String,
     pub(crate) kind: ColumnType,
 }
@@ -54,20 +54,20 @@
 
 /// Outcome of a statement.
 #[derive(Debug)]
-pub(crate) enum Outcome {
-    Rows(Vec<Field>, ResultRows),
+pub(crate) enum StatementOutcome {
+    Rows(Vec<ResultField>, ResultRows),
     /// `INSERT`, `UPDATE` or `DELETE` with its tag and, with RETURNING, rows.
-    Changed(String, Option<(Vec<Field>, ResultRows)>),
+    Changed(String, Option<(Vec<ResultField>, ResultRows)>),
     Done(&'static str),
     Sleep(f64),
-    /// The database was told to follow a leader; the answer is a row with `t`.
-    Followed(Vec<Field>),
+    /// The database now follows a leader; the result is a row with `t`.
+    Followed(Vec<ResultField>),
 }
 
 #[derive(Debug)]
 pub(crate) enum ExecError {
     Failed(SqlError),
-    /// Another transaction holds a lock.
+    /// Another transaction holds the lock: the lock and the ID of that transaction.
     Blocked(LockKey, u64),
 }
 
@@ -154,7 +154,7 @@
     statement: &Statement,
     params: &[Value],
     backend: i32,
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     match statement {
         Statement::Query(query) => execute_select(state, transaction, query, params, backend),
         Statement::Insert(insert) => execute_insert(state, transaction, insert, params),
@@ -162,7 +162,7 @@
         Statement::Delete(delete) => execute_delete(state, transaction, delete, params),
         Statement::CreateTable(create) => execute_create(state, transaction, create),
         Statement::CreateIndex(index) if index.unique => Err(unsupported("CREATE UNIQUE INDEX"))?,
-        Statement::CreateIndex(_) => Ok(Outcome::Done("CREATE INDEX")),
+        Statement::CreateIndex(_) => Ok(StatementOutcome::Done("CREATE INDEX")),
         Statement::Drop { names, if_exists, .. } => {
             check_writable(state, transaction, "DROP TABLE")?;
             for name in names {
@@ -176,12 +176,12 @@
                 transaction.dropped.insert(name.clone());
                 transaction.changes.push(LogChange::Drop(name));
             }
-            Ok(Outcome::Done("DROP TABLE"))
+            Ok(StatementOutcome::Done("DROP TABLE"))
         }
-        Statement::Set(_) => Ok(Outcome::Done("SET")),
-        Statement::Reset(_) => Ok(Outcome::Done("RESET")),
-        Statement::Discard { .. } => Ok(Outcome::Done("DISCARD ALL")),
-        Statement::Deallocate { .. } => Ok(Outcome::Done("DEALLOCATE")),
+        Statement::Set(_) => Ok(StatementOutcome::Done("SET")),
+        Statement::Reset(_) => Ok(StatementOutcome::Done("RESET")),
+        Statement::Discard { .. } => Ok(StatementOutcome::Done("DISCARD ALL")),
+        Statement::Deallocate { .. } => Ok(StatementOutcome::Done("DEALLOCATE")),
         Statement::ShowVariable { .. } => {
             let fields = describe(state, transaction, statement)?.1.unwrap_or_default();
             let value = match fields.first().map(|field| field.name.as_str()) {
@@ -193,7 +193,7 @@
                 _ => "",
             };
             let rows = vec![vec![Value::text(value)]];
-            Ok(Outcome::Rows(fields, ResultRows::List(rows.into_iter())))
+            Ok(StatementOutcome::Rows(fields, ResultRows::List(rows.into_iter())))
         }
         other => Err(unsupported(other))?,
     }
@@ -201,20 +201,20 @@
 
 /// Transaction control that a statement asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Control {
+pub(crate) enum TransactionControl {
     Begin { read_only: bool },
     Commit,
     Rollback,
 }
 
-pub(crate) fn control_of(statement: &Statement) -> Option<Control> {
+pub(crate) fn transaction_control(statement: &Statement) -> Option<TransactionControl> {
     match statement {
         Statement::StartTransaction { modes, .. } => {
             let read_only = TransactionMode::AccessMode(TransactionAccessMode::ReadOnly);
-            Some(Control::Begin { read_only: modes.contains(&read_only) })
+            Some(TransactionControl::Begin { read_only: modes.contains(&read_only) })
         }
-        Statement::Commit { .. } => Some(Control::Commit),
-        Statement::Rollback { savepoint: None, .. } => Some(Control::Rollback),
+        Statement::Commit { .. } => Some(TransactionControl::Commit),
+        Statement::Rollback { savepoint: None, .. } => Some(TransactionControl::Rollback),
         _ => None,
     }
 }
--- a/crates/fake/src/fakedb/engine/change.rs
+++ b/crates/fake/src/fakedb/engine/change.rs
@@ -1,4 +1,4 @@
-//! INSERT, UPDATE, DELETE and CREATE TABLE, with the locks that they take.
+//! Executes INSERT, UPDATE, DELETE and CREATE TABLE, with the locks that they take.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,11 +9,11 @@
 };
 
 use super::describe::projection;
-use super::expr::{Scope, eval};
-use super::select::{Source, matching_rows, project_row, resolve};
+use super::expr::{EvalScope, eval};
+use super::select::{QuerySource, matching_rows, project_row, resolve};
 use super::{
-    ExecError, Field, NEXT_NUMBER, Outcome, ResultRows, find_row, find_table, find_unique,
-    ident_name, last_name, unsupported,
+    ExecError, NEXT_SERIAL, ResultField, ResultRows, StatementOutcome, find_row, find_table,
+    find_unique, ident_name, last_name, unsupported,
 };
 use crate::fakedb::store::{ColumnDef, DatabaseState, LockKey, LogChange, TableDef, Transaction};
 use crate::fakedb::value::{ColumnType, Row, RowKey, Value};
@@ -52,8 +52,8 @@
     std::iter::once((def.name.clone(), 0, key.clone())).chain(unique).collect()
 }
 
-/// Finds what a new row would violate: the key of the other row and the constraint's name.
-fn violation(
+/// Returns the name of the unique constraint that a new row would violate.
+fn find_violation(
     state: &DatabaseState,
     transaction: &Transaction,
     def: &TableDef,
@@ -93,12 +93,12 @@
     def: &TableDef,
     rows: &[Row],
     params: &[Value],
-) -> Result<Option<(Vec<Field>, ResultRows)>, SqlError> {
+) -> Result<Option<(Vec<ResultField>, ResultRows)>, SqlError> {
     let Some(items) = items else { return Ok(None) };
     let columns = projection(items, Some(def))?;
     let mut projected = Vec::new();
     for row in rows {
-        projected.push(project_row(&columns, Scope { def: Some(def), row, params })?);
+        projected.push(project_row(&columns, EvalScope { def: Some(def), row, params })?);
     }
     let fields = columns.into_iter().map(|(_, field)| field).collect();
     Ok(Some((fields, ResultRows::List(projected.into_iter()))))
@@ -132,7 +132,7 @@
     transaction: &mut Transaction,
     insert: &Insert,
     params: &[Value],
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     check_writable(state, transaction, "INSERT")?;
     let def = find_table(state, transaction, &insert_target(insert)?)?;
     let columns = insert_columns(insert, &def)?;
@@ -146,7 +146,7 @@
     };
     let mut rows = Vec::new();
     for exprs in insert_rows(insert)? {
-        let scope = Scope { def: None, row: &[], params };
+        let scope = EvalScope { def: None, row: &[], params };
         let mut row = vec![None; def.columns.len()];
         if exprs.len() > columns.len() {
             Err(SqlError::new("42601", "INSERT has more expressions than target columns"))?;
@@ -164,13 +164,13 @@
                 (Some(value), _) => value,
                 (None, Some(default)) => column.kind.convert(eval(default, scope)?)?,
                 (None, None) if column.serial => {
-                    Value::Int(NEXT_NUMBER.fetch_add(1, Ordering::Relaxed))
+                    Value::Int(NEXT_SERIAL.fetch_add(1, Ordering::Relaxed))
                 }
                 (None, None) => Value::Null,
             });
         }
         check_not_null(&def, &complete)?;
-        let hidden = || vec![Value::Int(NEXT_NUMBER.fetch_add(1, Ordering::Relaxed))];
+        let hidden = || vec![Value::Int(NEXT_SERIAL.fetch_add(1, Ordering::Relaxed))];
         let key = def.key(&complete).unwrap_or_else(hidden);
         rows.push((key, Arc::new(complete)));
     }
@@ -179,7 +179,7 @@
     lock_all(state, transaction, locks)?;
     let mut inserted = Vec::new();
     for (key, row) in rows {
-        match violation(state, transaction, &def, &key, &row, None) {
+        match find_violation(state, transaction, &def, &key, &row, None) {
             Some(_) if skip_conflicts => {}
             Some(constraint) => Err(unique_violation(&constraint))?,
             None => {
@@ -189,7 +189,10 @@
         }
     }
     let tag = format!("INSERT 0 {}", inserted.len());
-    Ok(Outcome::Changed(tag, returning_rows(insert.returning.as_ref(), &def, &inserted, params)?))
+    Ok(StatementOutcome::Changed(
+        tag,
+        returning_rows(insert.returning.as_ref(), &def, &inserted, params)?,
+    ))
 }
 
 pub(super) fn target_table(
@@ -198,8 +201,8 @@
     from: &[TableWithJoins],
 ) -> Result<Arc<TableDef>, SqlError> {
     match resolve(state, transaction, from)? {
-        Source::Table(def) => Ok(def),
-        _ => Err(unsupported("a change of something that is not a table")),
+        QuerySource::Table(def) => Ok(def),
+        _ => Err(unsupported("modifying something that is not a table")),
     }
 }
 
@@ -218,7 +221,7 @@
     transaction: &mut Transaction,
     update: &sqlparser::ast::Update,
     params: &[Value],
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     check_writable(state, transaction, "UPDATE")?;
     let def = target_table(state, transaction, std::slice::from_ref(&update.table))?;
     let found = matching_rows(state, transaction, &def, update.selection.as_ref(), params)?;
@@ -227,7 +230,7 @@
         let mut new_row = (*row).clone();
         for assignment in &update.assignments {
             let at = assignment_column(&assignment.target, &def)?;
-            let value = eval(&assignment.value, Scope { def: Some(&def), row: &row, params })?;
+            let value = eval(&assignment.value, EvalScope { def: Some(&def), row: &row, params })?;
             new_row[at] = def.columns[at].kind.convert(value)?;
         }
         check_not_null(&def, &new_row)?;
@@ -243,8 +246,8 @@
     lock_all(state, transaction, locks)?;
     let mut rows = Vec::new();
     for (key, _, new_key, new_row) in changes {
-        let broken = violation(state, transaction, &def, &new_key, &new_row, Some(&key));
-        if let Some(constraint) = broken {
+        let violated = find_violation(state, transaction, &def, &new_key, &new_row, Some(&key));
+        if let Some(constraint) = violated {
             Err(unique_violation(&constraint))?;
         }
         if new_key != key {
@@ -254,7 +257,10 @@
         rows.push(new_row);
     }
     let tag = format!("UPDATE {}", rows.len());
-    Ok(Outcome::Changed(tag, returning_rows(update.returning.as_ref(), &def, &rows, params)?))
+    Ok(StatementOutcome::Changed(
+        tag,
+        returning_rows(update.returning.as_ref(), &def, &rows, params)?,
+    ))
 }
 
 pub(super) fn delete_from(delete: &sqlparser::ast::Delete) -> &[TableWithJoins] {
@@ -268,7 +274,7 @@
     transaction: &mut Transaction,
     delete: &sqlparser::ast::Delete,
     params: &[Value],
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     check_writable(state, transaction, "DELETE")?;
     let def = target_table(state, transaction, delete_from(delete))?;
     let found = matching_rows(state, transaction, &def, delete.selection.as_ref(), params)?;
@@ -279,19 +285,22 @@
         rows.push(row);
     }
     let tag = format!("DELETE {}", rows.len());
-    Ok(Outcome::Changed(tag, returning_rows(delete.returning.as_ref(), &def, &rows, params)?))
+    Ok(StatementOutcome::Changed(
+        tag,
+        returning_rows(delete.returning.as_ref(), &def, &rows, params)?,
+    ))
 }
 
 pub(super) fn execute_create(
     state: &mut DatabaseState,
     transaction: &mut Transaction,
     create: &sqlparser::ast::CreateTable,
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     check_writable(state, transaction, "CREATE TABLE")?;
     let name: Arc<str> = last_name(&create.name).into();
     if find_table(state, transaction, &name).is_ok() {
         if create.if_not_exists {
-            return Ok(Outcome::Done("CREATE TABLE"));
+            return Ok(StatementOutcome::Done("CREATE TABLE"));
         }
         Err(SqlError::new("42P07", format!("relation \"{name}\" already exists")))?;
     }
@@ -341,5 +350,5 @@
     let def = Arc::new(def);
     transaction.changes.push(LogChange::Create(def.clone()));
     transaction.created.insert(name, def);
-    Ok(Outcome::Done("CREATE TABLE"))
+    Ok(StatementOutcome::Done("CREATE TABLE"))
 }
--- a/crates/fake/src/fakedb/engine/describe.rs
+++ b/crates/fake/src/fakedb/engine/describe.rs
@@ -11,13 +11,13 @@
     assignment_column, delete_from, insert_columns, insert_rows, insert_target, target_table,
 };
 use super::expr::function_args;
-use super::select::{Source, resolve};
-use super::{Field, find_table, ident_name, last_name, unsupported};
+use super::select::{QuerySource, resolve};
+use super::{ResultField, find_table, ident_name, last_name, unsupported};
 use crate::fakedb::SqlError;
 use crate::fakedb::store::{DatabaseState, TableDef, Transaction};
 use crate::fakedb::value::ColumnType;
 
-/// Infers the type of an expression; a lone parameter is text.
+/// Infers the type of an expression; a parameter on its own is text.
 fn infer(expr: &Expr, def: Option<&TableDef>) -> ColumnType {
     let column = |name: &str| {
         let at = def.and_then(|def| def.column(name).ok());
@@ -91,11 +91,11 @@
     }
 }
 
-/// A projected expression and its field.
+/// Returns the expressions of a select list and their result fields.
 pub(super) fn projection(
     items: &[SelectItem],
     def: Option<&TableDef>,
-) -> Result<Vec<(Expr, Field)>, SqlError> {
+) -> Result<Vec<(Expr, ResultField)>, SqlError> {
     let mut columns = Vec::new();
     for item in items {
         match item {
@@ -103,15 +103,16 @@
                 for column in def.into_iter().flat_map(|def| &def.columns) {
                     let expr =
                         Expr::Identifier(sqlparser::ast::Ident::with_quote('"', &column.name));
-                    columns.push((expr, Field { name: column.name.clone(), kind: column.kind }));
+                    columns
+                        .push((expr, ResultField { name: column.name.clone(), kind: column.kind }));
                 }
             }
             SelectItem::UnnamedExpr(expr) => {
-                let field = Field { name: field_name(expr), kind: infer(expr, def) };
+                let field = ResultField { name: field_name(expr), kind: infer(expr, def) };
                 columns.push((expr.clone(), field));
             }
             SelectItem::ExprWithAlias { expr, alias } => {
-                let field = Field { name: ident_name(alias), kind: infer(expr, def) };
+                let field = ResultField { name: ident_name(alias), kind: infer(expr, def) };
                 columns.push((expr.clone(), field));
             }
             SelectItem::ExprWithAliases { .. } => return Err(unsupported(item)),
@@ -125,28 +126,29 @@
     state: &DatabaseState,
     transaction: &Transaction,
     statement: &Statement,
-) -> Result<(Vec<ColumnType>, Option<Vec<Field>>), SqlError> {
+) -> Result<(Vec<ColumnType>, Option<Vec<ResultField>>), SqlError> {
     let mut params = BTreeMap::new();
-    let names = |columns: Vec<(Expr, Field)>| columns.into_iter().map(|(_, field)| field).collect();
+    let names =
+        |columns: Vec<(Expr, ResultField)>| columns.into_iter().map(|(_, field)| field).collect();
     let fields = match statement {
         Statement::Query(query) => {
             let SetExpr::Select(select) = &*query.body else {
                 return Err(unsupported(&query.body));
             };
             let source = resolve(state, transaction, &select.from)?;
-            if let Source::Function(def, args) = &source {
-                note_args(&def.name, args, &mut params);
+            if let QuerySource::Function(def, args) = &source {
+                infer_argument_params(&def.name, args, &mut params);
             }
             for item in &select.projection {
                 if let SelectItem::UnnamedExpr(expr) | SelectItem::ExprWithAlias { expr, .. } = item
                 {
-                    note_params(expr, source.def(), None, &mut params);
+                    infer_param_types(expr, source.def(), None, &mut params);
                 }
             }
-            note_all(select.selection.as_ref(), source.def(), &mut params);
+            infer_condition_params(select.selection.as_ref(), source.def(), &mut params);
             if let Some(LimitClause::LimitOffset { limit, offset, .. }) = &query.limit_clause {
                 for expr in limit.iter().chain(offset.as_ref().map(|offset| &offset.value)) {
-                    note_params(expr, None, Some(ColumnType::Int8), &mut params);
+                    infer_param_types(expr, None, Some(ColumnType::Int8), &mut params);
                 }
             }
             Some(names(projection(&select.projection, source.def())?))
@@ -156,7 +158,7 @@
             let columns = insert_columns(insert, &def)?;
             for row in insert_rows(insert)? {
                 for (expr, at) in row.iter().zip(&columns) {
-                    note_params(expr, None, Some(def.columns[*at].kind), &mut params);
+                    infer_param_types(expr, None, Some(def.columns[*at].kind), &mut params);
                 }
             }
             let returning = insert.returning.as_ref();
@@ -167,21 +169,21 @@
             for assignment in &update.assignments {
                 let at = assignment_column(&assignment.target, &def)?;
                 let kind = Some(def.columns[at].kind);
-                note_params(&assignment.value, Some(&def), kind, &mut params);
+                infer_param_types(&assignment.value, Some(&def), kind, &mut params);
             }
-            note_all(update.selection.as_ref(), Some(&def), &mut params);
+            infer_condition_params(update.selection.as_ref(), Some(&def), &mut params);
             let returning = update.returning.as_ref();
             returning.map(|items| projection(items, Some(&def))).transpose()?.map(names)
         }
         Statement::Delete(delete) => {
             let def = target_table(state, transaction, delete_from(delete))?;
-            note_all(delete.selection.as_ref(), Some(&def), &mut params);
+            infer_condition_params(delete.selection.as_ref(), Some(&def), &mut params);
             let returning = delete.returning.as_ref();
             returning.map(|items| projection(items, Some(&def))).transpose()?.map(names)
         }
         Statement::ShowVariable { variable } => {
             let name = variable.iter().map(ident_name).collect::<Vec<_>>().join(".");
-            Some(vec![Field { name, kind: ColumnType::Text }])
+            Some(vec![ResultField { name, kind: ColumnType::Text }])
         }
         _ => None,
     };
@@ -190,13 +192,17 @@
     Ok((params.collect(), fields))
 }
 
-fn note_all(expr: Option<&Expr>, def: Option<&TableDef>, params: &mut BTreeMap<usize, ColumnType>) {
+fn infer_condition_params(
+    expr: Option<&Expr>,
+    def: Option<&TableDef>,
+    params: &mut BTreeMap<usize, ColumnType>,
+) {
     if let Some(expr) = expr {
-        note_params(expr, def, None, params);
+        infer_param_types(expr, def, None, params);
     }
 }
 
-fn note_args(name: &str, args: &[&Expr], params: &mut BTreeMap<usize, ColumnType>) {
+fn infer_argument_params(name: &str, args: &[&Expr], params: &mut BTreeMap<usize, ColumnType>) {
     for (at, arg) in args.iter().enumerate() {
         let kind = match (name, at) {
             ("cicadawick_fence" | "cicadawick_promote" | "cicadawick_follow", 0) => {
@@ -206,12 +212,12 @@
             ("pg_sleep", _) => ColumnType::Float,
             _ => ColumnType::Text,
         };
-        note_params(arg, None, Some(kind), params);
+        infer_param_types(arg, None, Some(kind), params);
     }
 }
 
-/// Notes the types of parameters in an expression that should have the type `expected`.
-fn note_params(
+/// Records the types of the parameters in an expression that should have the type `expected`.
+fn infer_param_types(
     expr: &Expr,
     def: Option<&TableDef>,
     expected: Option<ColumnType>,
@@ -226,11 +232,11 @@
             }
         }
         Expr::Nested(inner) | Expr::UnaryOp { expr: inner, .. } => {
-            note_params(inner, def, expected, params);
+            infer_param_types(inner, def, expected, params);
         }
         Expr::Cast { expr, data_type, .. } => {
             let kind = ColumnType::from_sql(&data_type.to_string());
-            note_params(expr, def, Some(kind), params);
+            infer_param_types(expr, def, Some(kind), params);
         }
         Expr::BinaryOp { left, op, right } => {
             let logical = matches!(op, BinaryOperator::And | BinaryOperator::Or);
@@ -247,22 +253,22 @@
                     Some(infer(other, def))
                 }
             };
-            note_params(left, def, side(right), params);
-            note_params(right, def, side(left), params);
+            infer_param_types(left, def, side(right), params);
+            infer_param_types(right, def, side(left), params);
         }
-        Expr::IsNull(inner) | Expr::IsNotNull(inner) => note_params(inner, def, None, params),
+        Expr::IsNull(inner) | Expr::IsNotNull(inner) => infer_param_types(inner, def, None, params),
         Expr::In { expr, target: InTarget::List(list), .. } => {
             let kind = infer(expr, def);
-            note_params(expr, def, None, params);
-            list.iter().for_each(|item| note_params(item, def, Some(kind), params));
+            infer_param_types(expr, def, None, params);
+            list.iter().for_each(|item| infer_param_types(item, def, Some(kind), params));
         }
         Expr::Between { expr, low, high, .. } => {
             let kind = infer(expr, def);
-            note_params(low, def, Some(kind), params);
-            note_params(high, def, Some(kind), params);
+            infer_param_types(low, def, Some(kind), params);
+            infer_param_types(high, def, Some(kind), params);
         }
         Expr::Function(function) => {
-            note_args(&last_name(&function.name), &function_args(function), params);
+            infer_argument_params(&last_name(&function.name), &function_args(function), params);
         }
         _ => {}
     }
--- a/crates/fake/src/fakedb/engine/expr.rs
+++ b/crates/fake/src/fakedb/engine/expr.rs
@@ -10,9 +10,9 @@
 use crate::fakedb::store::TableDef;
 use crate::fakedb::value::{ColumnType, Value};
 
-/// What an expression can refer to.
+/// Row and parameters that an expression can refer to.
 #[derive(Clone, Copy)]
-pub(super) struct Scope<'a> {
+pub(super) struct EvalScope<'a> {
     pub(super) def: Option<&'a TableDef>,
     pub(super) row: &'a [Value],
     pub(super) params: &'a [Value],
@@ -29,7 +29,7 @@
     value.map_or(Value::Null, Value::Bool)
 }
 
-pub(super) fn eval(expr: &Expr, scope: Scope<'_>) -> Result<Value, SqlError> {
+pub(super) fn eval(expr: &Expr, scope: EvalScope<'_>) -> Result<Value, SqlError> {
     Ok(match expr {
         Expr::Nested(inner) => eval(inner, scope)?,
         Expr::Value(literal) => eval_literal(&literal.value, scope.params)?,
@@ -87,7 +87,7 @@
     }
 }
 
-/// An interval is held as its number of seconds.
+/// Parses an interval, which is represented by its number of seconds.
 fn interval_seconds(text: &str) -> Result<Value, SqlError> {
     let invalid = || SqlError::new("22007", format!("invalid interval \"{text}\""));
     let words: Vec<&str> = text.split_whitespace().collect();
@@ -132,14 +132,14 @@
     })
 }
 
-fn column_value(name: &str, scope: Scope<'_>) -> Result<Value, SqlError> {
+fn column_value(name: &str, scope: EvalScope<'_>) -> Result<Value, SqlError> {
     match scope.def {
         Some(def) => Ok(scope.row[def.column(name)?].clone()),
         None => Err(SqlError::new("42703", format!("column \"{name}\" does not exist"))),
     }
 }
 
-/// Compares two values; a text is converted to the type of the other side, as a literal would be.
+/// Compares two values. A text is converted to the type of the other value, as a literal would be.
 fn compare(left: &Value, right: &Value) -> Result<Option<std::cmp::Ordering>, SqlError> {
     let convert = |text: &Value, other: &Value| match other {
         Value::Bool(_) => ColumnType::Bool.convert(text.clone()),
@@ -247,7 +247,7 @@
     }
 }
 
-fn eval_function(function: &Function, scope: Scope<'_>) -> Result<Value, SqlError> {
+fn eval_function(function: &Function, scope: EvalScope<'_>) -> Result<Value, SqlError> {
     let name = last_name(&function.name);
     let args = function_args(function);
     let arg = |at: usize| match args.get(at) {
--- a/crates/fake/src/fakedb/engine/function.rs
+++ b/crates/fake/src/fakedb/engine/function.rs
@@ -1,19 +1,19 @@
-//! Table functions: the series and the administration of a database's term and role.
+//! Table functions: `generate_series`, and the administration of a database's term and role.
 
-use super::{Field, unsupported};
+use super::{ResultField, unsupported};
 use crate::fakedb::SqlError;
 use crate::fakedb::store::{ColumnDef, DatabaseState, TableDef};
 use crate::fakedb::value::{ColumnType, Value};
 
-/// Fields of a table function, or `None` if the name is none.
-fn function_fields(name: &str) -> Option<Vec<Field>> {
-    let text = |name: &str| Field { name: name.to_string(), kind: ColumnType::Text };
+/// Returns the fields of a table function; `None` if there is no function of that name.
+fn function_fields(name: &str) -> Option<Vec<ResultField>> {
+    let text = |name: &str| ResultField { name: name.to_string(), kind: ColumnType::Text };
     let report = ["term", "role", "log_term", "received", "applied", "term_start", "previous_term"];
     Some(match name {
         "cicadawick_report" => report.into_iter().map(text).collect(),
         "cicadawick_fence" => std::iter::once("accepted").chain(report).map(text).collect(),
         "cicadawick_promote" | "cicadawick_follow" => vec![text(name)],
-        "generate_series" => vec![Field { name: name.to_string(), kind: ColumnType::Int4 }],
+        "generate_series" => vec![ResultField { name: name.to_string(), kind: ColumnType::Int4 }],
         _ => return None,
     })
 }
@@ -30,7 +30,7 @@
     Some(TableDef { name: name.into(), columns, primary: Vec::new(), unique: Vec::new() })
 }
 
-/// Runs one of the functions with several columns or effects.
+/// Runs an administration function; returns its rows and whether the database now follows a leader.
 pub(super) fn call_function(
     state: &mut DatabaseState,
     name: &str,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Tells whether a statement only calls the administration functions, which take no slot: a report
+/// Tells whether a statement calls an administration function. These take no slot, because a report
 /// must not wait behind the load that it reports on.
 pub(crate) fn is_administration(sql: &str) -> bool {
     ["cicadawick_report", "cicadawick_fence", "cicadawick_promote", "cicadawick_follow"]
--- a/crates/fake/src/fakedb/engine/select.rs
+++ b/crates/fake/src/fakedb/engine/select.rs
@@ -10,29 +10,29 @@
 
 use super::change::{check_writable, lock_all};
 use super::describe::projection;
-use super::expr::{Scope, argument_exprs, eval, eval_arithmetic, function_args, truth};
+use super::expr::{EvalScope, argument_exprs, eval, eval_arithmetic, function_args, truth};
 use super::function::{call_function, function_def, series};
 use super::{
-    ExecError, Field, Outcome, ResultRows, find_row, find_table, find_unique, ident_name,
-    last_name, unsupported,
+    ExecError, ResultField, ResultRows, StatementOutcome, find_row, find_table, find_unique,
+    ident_name, last_name, unsupported,
 };
 use crate::fakedb::store::{DatabaseState, TableDef, Transaction};
 use crate::fakedb::value::{Row, RowKey, Value};
 use crate::fakedb::{DatabaseRole, SqlError};
 
-/// Resolves the table of a FROM clause.
-pub(super) enum Source<'a> {
+/// Source of the rows of a query.
+pub(super) enum QuerySource<'a> {
     None,
     Table(Arc<TableDef>),
     Function(TableDef, Vec<&'a Expr>),
 }
 
-impl Source<'_> {
+impl QuerySource<'_> {
     pub(super) fn def(&self) -> Option<&TableDef> {
         match self {
-            Source::None => None,
-            Source::Table(def) => Some(def),
-            Source::Function(def, _) => Some(def),
+            QuerySource::None => None,
+            QuerySource::Table(def) => Some(def),
+            QuerySource::Function(def, _) => Some(def),
         }
     }
 }
@@ -41,9 +41,9 @@
     state: &DatabaseState,
     transaction: &Transaction,
     from: &'a [TableWithJoins],
-) -> Result<Source<'a>, SqlError> {
+) -> Result<QuerySource<'a>, SqlError> {
     let [from] = from else {
-        return if from.is_empty() { Ok(Source::None) } else { Err(unsupported("joins")) };
+        return if from.is_empty() { Ok(QuerySource::None) } else { Err(unsupported("joins")) };
     };
     let TableFactor::Table { name, alias, args, .. } = &from.relation else {
         return Err(unsupported(&from.relation));
@@ -53,33 +53,33 @@
     }
     let name = last_name(name);
     match args {
-        None => Ok(Source::Table(find_table(state, transaction, &name)?)),
+        None => Ok(QuerySource::Table(find_table(state, transaction, &name)?)),
         Some(args) => {
             let alias = alias.as_ref().map(|alias| ident_name(&alias.name));
             let def = function_def(&name, alias.as_deref())
                 .ok_or_else(|| SqlError::new("42883", format!("function {name} does not exist")))?;
-            Ok(Source::Function(def, argument_exprs(&args.args)))
+            Ok(QuerySource::Function(def, argument_exprs(&args.args)))
         }
     }
 }
 
-/// Collects `column = value` conditions that must all hold.
-fn equalities(
+/// Collects the `column = value` conditions that every matching row satisfies.
+fn collect_equalities(
     expr: &Expr,
     def: &TableDef,
     params: &[Value],
     found: &mut BTreeMap<usize, Value>,
 ) -> Result<(), SqlError> {
     match expr {
-        Expr::Nested(inner) => equalities(inner, def, params, found)?,
+        Expr::Nested(inner) => collect_equalities(inner, def, params, found)?,
         Expr::BinaryOp { left, op: BinaryOperator::And, right } => {
-            equalities(left, def, params, found)?;
-            equalities(right, def, params, found)?;
+            collect_equalities(left, def, params, found)?;
+            collect_equalities(right, def, params, found)?;
         }
         Expr::BinaryOp { left, op: BinaryOperator::Eq, right } => {
             if let Expr::Identifier(ident) = &**left
                 && let Ok(at) = def.column(&ident_name(ident))
-                && let Ok(value) = eval(right, Scope { def: None, row: &[], params })
+                && let Ok(value) = eval(right, EvalScope { def: None, row: &[], params })
             {
                 found.insert(at, def.columns[at].kind.convert(value)?);
             }
@@ -99,7 +99,7 @@
 ) -> Result<Vec<(RowKey, Row)>, SqlError> {
     let mut known = BTreeMap::new();
     if let Some(condition) = condition {
-        equalities(condition, def, params, &mut known)?;
+        collect_equalities(condition, def, params, &mut known)?;
     }
     let lookup = |columns: &[usize]| -> Option<RowKey> {
         (!columns.is_empty()).then(|| columns.iter().map(|at| known.get(at).cloned()).collect())?
@@ -107,7 +107,7 @@
     let holds = |row: &Row| -> Result<bool, SqlError> {
         match condition {
             Some(condition) => {
-                let scope = Scope { def: Some(def), row, params };
+                let scope = EvalScope { def: Some(def), row, params };
                 Ok(truth(&eval(condition, scope)?) == Some(true))
             }
             None => Ok(true),
@@ -155,8 +155,8 @@
 }
 
 pub(super) fn project_row(
-    columns: &[(Expr, Field)],
-    scope: Scope<'_>,
+    columns: &[(Expr, ResultField)],
+    scope: EvalScope<'_>,
 ) -> Result<Vec<Value>, SqlError> {
     columns.iter().map(|(expr, _)| eval(expr, scope)).collect()
 }
@@ -181,7 +181,7 @@
     };
     let mut result = if name == "count" { Value::Int(0) } else { Value::Null };
     for row in rows {
-        let value = eval(arg, Scope { def, row, params })?;
+        let value = eval(arg, EvalScope { def, row, params })?;
         if value.is_null() {
             continue;
         }
@@ -196,8 +196,8 @@
     Ok(result)
 }
 
-fn limit_of(query: &Query, params: &[Value]) -> Result<(usize, usize), SqlError> {
-    let scope = Scope { def: None, row: &[], params };
+fn offset_and_limit(query: &Query, params: &[Value]) -> Result<(usize, usize), SqlError> {
+    let scope = EvalScope { def: None, row: &[], params };
     let number = |expr: Option<&Expr>, default: usize| -> Result<usize, SqlError> {
         let value = expr.map(|expr| eval(expr, scope)).transpose()?;
         Ok(value.and_then(|value| value.as_int()).map_or(default, |value| value.max(0) as usize))
@@ -227,11 +227,11 @@
     for order in exprs.iter().rev() {
         let descending = matches!(order.options.sort, Some(OrderBySort::Desc));
         if let Some(row) = rows.first() {
-            eval(&order.expr, Scope { def: Some(def), row, params })?;
+            eval(&order.expr, EvalScope { def: Some(def), row, params })?;
         }
         rows.sort_by(|left, right| {
             let key = |row: &Row| {
-                eval(&order.expr, Scope { def: Some(def), row, params }).unwrap_or(Value::Null)
+                eval(&order.expr, EvalScope { def: Some(def), row, params }).unwrap_or(Value::Null)
             };
             let ordering = key(left).cmp(&key(right));
             if descending { ordering.reverse() } else { ordering }
@@ -246,18 +246,18 @@
     query: &Query,
     params: &[Value],
     backend: i32,
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     let SetExpr::Select(select) = &*query.body else { Err(unsupported(&query.body))? };
     let source = resolve(state, transaction, &select.from)?;
     let columns = projection(&select.projection, source.def())?;
-    let fields: Vec<Field> = columns.iter().map(|(_, field)| field.clone()).collect();
-    let empty = Scope { def: None, row: &[], params };
-    let (offset, limit) = limit_of(query, params)?;
+    let fields: Vec<ResultField> = columns.iter().map(|(_, field)| field.clone()).collect();
+    let empty = EvalScope { def: None, row: &[], params };
+    let (offset, limit) = offset_and_limit(query, params)?;
     let mut rows: Vec<Row> = match &source {
-        Source::None => {
+        QuerySource::None => {
             return execute_scalar(state, &columns, fields, empty, backend);
         }
-        Source::Function(def, args) => {
+        QuerySource::Function(def, args) => {
             let args = args.iter().map(|arg| eval(arg, empty)).collect::<Result<Vec<_>, _>>()?;
             if &*def.name == "generate_series" {
                 let range = series(&args)?;
@@ -267,18 +267,18 @@
                     && matches!(&columns[0].0, Expr::Identifier(_))
                     && (offset, limit) == (0, usize::MAX);
                 if is_plain {
-                    return Ok(Outcome::Rows(fields, ResultRows::Series(range)));
+                    return Ok(StatementOutcome::Rows(fields, ResultRows::Series(range)));
                 }
                 range.map(|number| Arc::new(vec![Value::Int(number)])).collect()
             } else {
                 let (rows, followed) = call_function(state, &def.name, &args)?;
                 if followed {
-                    return Ok(Outcome::Followed(fields));
+                    return Ok(StatementOutcome::Followed(fields));
                 }
                 rows.into_iter().map(Arc::new).collect()
             }
         }
-        Source::Table(def) => {
+        QuerySource::Table(def) => {
             let found = matching_rows(state, transaction, def, select.selection.as_ref(), params)?;
             if !query.locks.is_empty() {
                 check_writable(state, transaction, "SELECT FOR UPDATE")?;
@@ -295,26 +295,26 @@
             let (name, function) = aggregate(expr).ok_or_else(|| unsupported("GROUP BY"))?;
             row.push(eval_aggregate(&name, function, def, &rows, params)?);
         }
-        return Ok(Outcome::Rows(fields, ResultRows::List(vec![row].into_iter())));
+        return Ok(StatementOutcome::Rows(fields, ResultRows::List(vec![row].into_iter())));
     }
     if let Some(def) = def {
         sort_rows(query, def, &mut rows, params)?;
     }
     let mut projected = Vec::new();
     for row in rows.iter().skip(offset).take(limit) {
-        projected.push(project_row(&columns, Scope { def, row, params })?);
+        projected.push(project_row(&columns, EvalScope { def, row, params })?);
     }
-    Ok(Outcome::Rows(fields, ResultRows::List(projected.into_iter())))
+    Ok(StatementOutcome::Rows(fields, ResultRows::List(projected.into_iter())))
 }
 
 /// Runs a SELECT without FROM.
 fn execute_scalar(
     state: &mut DatabaseState,
-    columns: &[(Expr, Field)],
-    fields: Vec<Field>,
-    scope: Scope<'_>,
+    columns: &[(Expr, ResultField)],
+    fields: Vec<ResultField>,
+    scope: EvalScope<'_>,
     backend: i32,
-) -> Result<Outcome, ExecError> {
+) -> Result<StatementOutcome, ExecError> {
     let mut row = Vec::new();
     for (expr, _) in columns {
         let Expr::Function(function) = expr else {
@@ -327,10 +327,10 @@
         match name.as_str() {
             "pg_sleep" if columns.len() == 1 => {
                 let seconds = args()?.first().and_then(Value::as_float).unwrap_or_default();
-                return Ok(Outcome::Sleep(seconds));
+                return Ok(StatementOutcome::Sleep(seconds));
             }
             "generate_series" if columns.len() == 1 => {
-                return Ok(Outcome::Rows(fields, ResultRows::Series(series(&args()?)?)));
+                return Ok(StatementOutcome::Rows(fields, ResultRows::Series(series(&args()?)?)));
             }
             "pg_backend_pid" => row.push(Value::Int(i64::from(backend))),
             "pg_is_in_recovery" => row.push(Value::Bool(state.role == DatabaseRole::Replica)),
@@ -338,7 +338,7 @@
             | "cicadawick_follow" => {
                 let (mut rows, followed) = call_function(state, &name, &args()?)?;
                 if followed {
-                    return Ok(Outcome::Followed(fields));
+                    return Ok(StatementOutcome::Followed(fields));
                 }
                 let mut values = rows.pop().unwrap_or_default();
                 // A composite value as a single column has PostgreSQL's record syntax.
@@ -352,5 +352,5 @@
             _ => row.push(eval(expr, scope)?),
         }
     }
-    Ok(Outcome::Rows(fields, ResultRows::List(vec![row].into_iter())))
+    Ok(StatementOutcome::Rows(fields, ResultRows::List(vec![row].into_iter())))
 }
--- a/crates/fake/src/fakedb/mod.rs
+++ b/crates/fake/src/fakedb/mod.rs
@@ -1,4 +1,4 @@
-//! A database group that speaks the PostgreSQL v3 protocol.
+//! A fake database group that speaks the PostgreSQL v3 protocol.
 //!
 //! One process holds N databases, each on its own port with its own tables, log, term, limits and
 //! counters. The primary appends committed transactions to its log; a thread per replica copies
@@ -8,15 +8,15 @@
 //! its leader does not have.
 //!
 //! A primary that was frozen or cut off still believes that it leads. It accepts commits of its old
-//! term until it is fenced or told to follow, so a proxy has to find out by evidence.
+//! term until it is fenced or told to follow, so a proxy cannot rely on the role that it reports.
 //!
-//! Choices that callers may notice:
-//! - Statements wait in arrival order for a slot. A statement that waits for a row lock gives its
-//!   slot back meanwhile. `cicadawick_*` functions take no slot.
+//! Behaviour that clients may notice:
+//! - Statements wait in arrival order for a slot. A statement that waits for a row lock releases its
+//!   slot and acquires one again afterwards. `cicadawick_*` functions take no slot.
 //! - Isolation is READ COMMITTED with row locks; a deadlock is reported at once as `40P01`, and a
 //!   lock wait ends after 10 s with `55P03`.
 //! - `numeric` is a double, and `sum` of integers is `bigint`.
-//! - Databases answer in binary format where the caller asks for it, as the `postgres` crate does.
+//! - Results are in binary format if the client requests it, as the `postgres` crate does.
 
 mod control;
 mod engine;
@@ -83,7 +83,8 @@
     pub previous_term: u64,
 }
 
-/// Counters of one database since it started; a kill resets only the numbers of now.
+/// Counters of one database since it started. A kill resets only the current values: open
+/// connections, busy slots and waiting statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DatabaseCounters {
     pub statements: u64,
@@ -100,7 +101,7 @@
     pub cancelled: u64,
 }
 
-/// How to start a group.
+/// Options of a database group.
 #[derive(Clone, Debug)]
 pub struct GroupOptions {
     /// Names in order; the first is the primary of term 1.
@@ -147,14 +148,14 @@
     pub rows: Vec<Vec<Option<String>>>,
 }
 
-/// One database and what its threads wait on.
+/// One database with the condition variables of its threads.
 #[derive(Debug)]
 pub(crate) struct Database {
     pub(crate) state: Mutex<DatabaseState>,
-    /// A transaction ended.
+    /// Notified when a transaction ends and releases its locks.
     pub(crate) locks_changed: Condvar,
-    /// The database was frozen, thawed or killed, or a statement was cancelled.
-    pub(crate) gate_changed: Condvar,
+    /// Notified when the database is frozen, thawed or killed, or a statement is cancelled.
+    pub(crate) status_changed: Condvar,
     pub(crate) group: Arc<GroupSignal>,
 }
 
@@ -164,11 +165,11 @@
     }
 
     pub(crate) fn wake_all(&self) {
-        for (_, turn) in &self.lock().slot_queue {
-            turn.notify_one();
+        for (_, slot_ready) in &self.lock().slot_queue {
+            slot_ready.notify_one();
         }
         self.locks_changed.notify_all();
-        self.gate_changed.notify_all();
+        self.status_changed.notify_all();
     }
 }
 
@@ -203,7 +204,7 @@
     }
 }
 
-/// The part of a group that its threads share.
+/// State that the threads of a group share.
 #[derive(Debug)]
 pub(crate) struct GroupCore {
     databases: Vec<Arc<Database>>,
@@ -241,22 +242,22 @@
         let signal = Arc::new(GroupSignal::default());
         let mut databases = Vec::new();
         let mut listeners = Vec::new();
-        let opening = Arc::new(LogEntry {
+        let first_entry = Arc::new(LogEntry {
             term: 1,
             end: 24,
             changes: vec![LogChange::OpenTerm],
             committed_at: Instant::now(),
         });
-        for (at, name) in options.names.iter().enumerate() {
-            let port = options.ports.get(at).copied().unwrap_or_default();
+        for (index, name) in options.names.iter().enumerate() {
+            let port = options.ports.get(index).copied().unwrap_or_default();
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, port))
                 .with_context(|| format!("failed to listen on port {port} for {name}"))?;
-            let leader = (at > 0).then(|| options.names[0].clone());
-            let state = new_state(&options, name, leader, opening.clone());
+            let leader = (index > 0).then(|| options.names[0].clone());
+            let state = new_state(&options, name, leader, first_entry.clone());
             databases.push(Arc::new(Database {
                 state: Mutex::new(state),
                 locks_changed: Condvar::new(),
-                gate_changed: Condvar::new(),
+                status_changed: Condvar::new(),
                 group: signal.clone(),
             }));
             listeners.push(listener);
@@ -270,13 +271,13 @@
             listeners: Mutex::default(),
             signal,
         });
-        for (at, listener) in listeners.into_iter().enumerate() {
-            core.accept_on(at, listener)?;
+        for (index, listener) in listeners.into_iter().enumerate() {
+            core.accept_on(index, listener)?;
         }
         let mut group = DatabaseGroup { core, control: None, replication: Vec::new() };
-        for at in 0..group.core.databases.len() {
+        for index in 0..group.core.databases.len() {
             let core = group.core.clone();
-            group.replication.push(std::thread::spawn(move || core.replicate(at)));
+            group.replication.push(std::thread::spawn(move || core.run_replication(index)));
         }
         let core = group.core.clone();
         let handler = move |request: &crate::http::ControlRequest| core.control(request);
@@ -294,7 +295,7 @@
         &self.core.names
     }
 
-    /// Returns the databases' addresses in order; they stay the same over kills and restarts.
+    /// Returns the databases' addresses in order; kills and restarts do not change them.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.core.addresses
     }
@@ -320,27 +321,27 @@
 
     /// Makes a database accept connections but answer nothing and replicate nothing.
     pub fn freeze(&self, name: &str) -> anyhow::Result<()> {
-        self.core.change(name, |state| state.frozen = true)
+        self.core.update(name, |state| state.frozen = true)
     }
 
-    /// Ends a freeze; what waited goes on.
+    /// Ends a freeze; waiting statements continue.
     pub fn thaw(&self, name: &str) -> anyhow::Result<()> {
-        self.core.change(name, |state| state.frozen = false)
+        self.core.update(name, |state| state.frozen = false)
     }
 
-    /// Cuts the replication link of a database, both as leader and as follower.
+    /// Disconnects a database from replication, both as leader and as follower.
     pub fn cut(&self, name: &str) -> anyhow::Result<()> {
-        self.core.change(name, |state| state.cut = true)
+        self.core.update(name, |state| state.cut = true)
     }
 
-    /// Joins the replication link again.
+    /// Reconnects a database to replication.
     pub fn join(&self, name: &str) -> anyhow::Result<()> {
-        self.core.change(name, |state| state.cut = false)
+        self.core.update(name, |state| state.cut = false)
     }
 
     /// Sets how long after a commit a replica receives it and how long after that it applies it.
     pub fn set_lag(&self, name: &str, receive: Duration, apply: Duration) -> anyhow::Result<()> {
-        self.core.change(name, |state| {
+        self.core.update(name, |state| {
             state.receive_delay = receive;
             state.apply_lag = apply;
         })
@@ -348,7 +349,7 @@
 
     /// Sets how many connections and slots a database has.
     pub fn set_limits(&self, name: &str, connections: u32, slots: u32) -> anyhow::Result<()> {
-        self.core.change(name, |state| {
+        self.core.update(name, |state| {
             state.connection_limit = connections;
             state.slot_limit = slots;
         })
@@ -356,27 +357,27 @@
 
     /// Sets the time that each statement holds its slot.
     pub fn set_service_time(&self, name: &str, service_time: Duration) -> anyhow::Result<()> {
-        self.core.change(name, |state| state.service_time = service_time)
+        self.core.update(name, |state| state.service_time = service_time)
     }
 
     /// Sets the time that opening a connection takes.
     pub fn set_open_time(&self, name: &str, open_time: Duration) -> anyhow::Result<()> {
-        self.core.change(name, |state| state.open_time = open_time)
+        self.core.update(name, |state| state.open_time = open_time)
     }
 
     /// Reads a database's counters.
     pub fn counters(&self, name: &str) -> anyhow::Result<DatabaseCounters> {
-        self.core.change(name, |state| state.counters)
+        self.core.update(name, |state| state.counters)
     }
 
     /// Reads a database's report without a connection.
     pub fn report(&self, name: &str) -> anyhow::Result<DatabaseReport> {
-        self.core.change(name, |state| state.report())
+        self.core.update(name, |state| state.report())
     }
 
     /// Returns the name of the primary with the highest term.
     pub fn primary(&self) -> Option<String> {
-        self.core.primary().map(|at| self.core.names[at].clone())
+        self.core.primary().map(|index| self.core.names[index].clone())
     }
 
     /// Reads the committed content of a table from the log of the primary with the highest term, in
@@ -408,7 +409,7 @@
     options: &GroupOptions,
     name: &str,
     leader: Option<String>,
-    opening: Arc<LogEntry>,
+    first_entry: Arc<LogEntry>,
 ) -> DatabaseState {
     DatabaseState {
         name: name.to_string(),
@@ -416,7 +417,7 @@
         role: if leader.is_some() { DatabaseRole::Replica } else { DatabaseRole::Primary },
         fenced_by: None,
         following: leader,
-        log: vec![opening],
+        log: vec![first_entry],
         applied: 1,
         tables: BTreeMap::new(),
         received_at: VecDeque::new(),
@@ -426,7 +427,7 @@
         waits: HashMap::new(),
         slot_queue: VecDeque::new(),
         connections: HashMap::new(),
-        run: 0,
+        incarnation: 0,
         alive: true,
         frozen: false,
         cut: false,
@@ -446,50 +447,50 @@
         found.with_context(|| format!("no database is named {name}"))
     }
 
-    /// Changes a database's state and wakes everything that may depend on it.
-    fn change<R>(
+    /// Updates a database's state and wakes all threads that may depend on it.
+    fn update<R>(
         &self,
         name: &str,
-        change: impl FnOnce(&mut DatabaseState) -> R,
+        update: impl FnOnce(&mut DatabaseState) -> R,
     ) -> anyhow::Result<R> {
         let database = &self.databases[self.find(name)?];
-        let result = change(&mut database.lock());
+        let result = update(&mut database.lock());
         database.wake_all();
         self.signal.notify();
         Ok(result)
     }
 
-    fn accept_on(self: &Arc<Self>, at: usize, listener: TcpListener) -> anyhow::Result<()> {
+    fn accept_on(self: &Arc<Self>, index: usize, listener: TcpListener) -> anyhow::Result<()> {
         let address = listener.local_addr()?;
         let stop = Arc::new(AtomicBool::new(false));
         let (core, flag) = (self.clone(), stop.clone());
-        let thread = std::thread::Builder::new().name(self.names[at].clone()).spawn(move || {
+        let thread = std::thread::Builder::new().name(self.names[index].clone()).spawn(move || {
             for stream in listener.incoming() {
                 if flag.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                let (core, database) = (core.clone(), core.databases[at].clone());
-                std::thread::spawn(move || server::serve(&core, at, &database, stream));
+                let (core, database) = (core.clone(), core.databases[index].clone());
+                std::thread::spawn(move || server::serve(&core, index, &database, stream));
             }
         });
         let thread = thread.context("failed to start a listener thread")?;
         let mut listeners = self.listeners.lock().unwrap_or_else(PoisonError::into_inner);
-        listeners.insert(at, ListenerThread { address, thread, stop });
+        listeners.insert(index, ListenerThread { address, thread, stop });
         Ok(())
     }
 
     fn kill(&self, name: &str) -> anyhow::Result<()> {
-        let at = self.find(name)?;
+        let index = self.find(name)?;
         let listener = {
             let mut listeners = self.listeners.lock().unwrap_or_else(PoisonError::into_inner);
-            listeners.remove(&at)
+            listeners.remove(&index)
         };
-        let database = &self.databases[at];
+        let database = &self.databases[index];
         {
             let mut state = database.lock();
             state.alive = false;
-            state.run += 1;
+            state.incarnation += 1;
             for (_, connection) in state.connections.drain() {
                 connection.cancel.store(true, Ordering::SeqCst);
                 drop(connection.stream.shutdown(std::net::Shutdown::Both));
@@ -497,8 +498,8 @@
             state.counters.connections = 0;
             state.counters.slots_busy = 0;
             state.counters.waiting = 0;
-            for (_, turn) in state.slot_queue.drain(..) {
-                turn.notify_one();
+            for (_, slot_ready) in state.slot_queue.drain(..) {
+                slot_ready.notify_one();
             }
             state.end_epoch();
         }
@@ -511,21 +512,21 @@
     }
 
     fn restart(self: &Arc<Self>, name: &str) -> anyhow::Result<()> {
-        let at = self.find(name)?;
-        if self.databases[at].lock().alive {
+        let index = self.find(name)?;
+        if self.databases[index].lock().alive {
             return Ok(());
         }
-        let address = self.addresses[at];
+        let address = self.addresses[index];
         let listener = TcpListener::bind(address)
             .with_context(|| format!("failed to listen on {address} again"))?;
         {
-            let mut state = self.databases[at].lock();
+            let mut state = self.databases[index].lock();
             state.alive = true;
             state.frozen = false;
-            // What was received before the kill is on disk and is applied at the start.
+            // Entries received before the kill are on disk and are applied at start-up.
             state.apply(usize::MAX);
         }
-        self.accept_on(at, listener)?;
+        self.accept_on(index, listener)?;
         self.signal.notify();
         Ok(())
     }
@@ -534,12 +535,12 @@
         let reports = self.databases.iter().map(|database| database.lock().report());
         let primaries =
             reports.enumerate().filter(|(_, report)| report.role == DatabaseRole::Primary);
-        primaries.max_by_key(|(_, report)| report.term).map(|(at, _)| at)
+        primaries.max_by_key(|(_, report)| report.term).map(|(index, _)| index)
     }
 
     fn table(&self, table: &str) -> anyhow::Result<TableContent> {
-        let at = self.primary().context("the group has no primary")?;
-        let state = self.databases[at].lock();
+        let index = self.primary().context("the group has no primary")?;
+        let state = self.databases[index].lock();
         let found = state.tables.get(table);
         let found = found.with_context(|| format!("{} has no table {table}", state.name))?;
         let columns = found.def.columns.iter().map(|column| column.name.clone()).collect();
@@ -548,10 +549,10 @@
     }
 
     /// Copies and applies log entries until the group stops.
-    fn replicate(&self, at: usize) {
+    fn run_replication(&self, index: usize) {
         let mut seen = 0;
         while !self.signal.stopping.load(Ordering::SeqCst) {
-            let due = self.replicate_once(at);
+            let due = self.replicate_once(index);
             let generation = self.signal.generation.lock().unwrap_or_else(PoisonError::into_inner);
             if *generation == seen {
                 let wait = due.map_or(Duration::from_secs(3600), |due| {
@@ -566,10 +567,10 @@
     }
 
     /// Receives and applies what is due now; returns when the next entry is due.
-    pub(crate) fn replicate_once(&self, at: usize) -> Option<Instant> {
+    pub(crate) fn replicate_once(&self, index: usize) -> Option<Instant> {
         let now = Instant::now();
-        let receive_due = self.receive(at, now);
-        let mut state = self.databases[at].lock();
+        let receive_due = self.receive(index, now);
+        let mut state = self.databases[index].lock();
         if !state.alive || state.frozen {
             return None;
         }
@@ -580,55 +581,57 @@
         [receive_due, apply_due].into_iter().flatten().min()
     }
 
-    fn receive(&self, at: usize, now: Instant) -> Option<Instant> {
+    fn receive(&self, index: usize, now: Instant) -> Option<Instant> {
         let (term, leader, length, last, delay) = {
-            let state = self.databases[at].lock();
+            let state = self.databases[index].lock();
             let is_up = state.alive && !state.frozen && !state.cut;
             let leader = state.following.clone().filter(|_| is_up)?;
             let last = state.log.last().map(|entry| (entry.term, entry.end));
             (state.term, leader, state.log.len(), last, state.receive_delay)
         };
-        let leader_at = self.names.iter().position(|name| *name == leader)?;
-        // The two states are locked one after the other, so there is no order of locks to keep.
+        let leader_index = self.names.iter().position(|name| *name == leader)?;
+        // The two states are never locked at the same time, so no lock order is needed.
         let (entries, diverged) = {
-            let state = self.databases[leader_at].lock();
+            let state = self.databases[leader_index].lock();
             let is_up = state.alive && !state.frozen && !state.cut;
             if !is_up || state.role != DatabaseRole::Primary || state.term != term {
                 return None;
             }
-            let same = length.checked_sub(1).and_then(|at| state.log.get(at));
+            let same = length.checked_sub(1).and_then(|index| state.log.get(index));
             if same.map(|entry| (entry.term, entry.end)) == last {
                 (state.log[length..].to_vec(), false)
             } else {
                 (state.log.clone(), true)
             }
         };
-        let mut state = self.databases[at].lock();
+        let mut state = self.databases[index].lock();
         let is_same = state.term == term
             && state.following.as_ref() == Some(&leader)
             && state.log.len() == length;
         if !is_same || !state.alive || state.frozen || state.cut {
             return Some(now);
         }
-        let mut fresh = entries.as_slice();
+        let mut new_entries = entries.as_slice();
         if diverged {
             let common = common_length(&state.log, &entries);
             state.truncate(common);
-            fresh = &entries[common..];
+            new_entries = &entries[common..];
         }
-        let ready = fresh.iter().take_while(|entry| entry.committed_at + delay <= now).count();
-        for entry in &fresh[..ready] {
+        let ready =
+            new_entries.iter().take_while(|entry| entry.committed_at + delay <= now).count();
+        for entry in &new_entries[..ready] {
             state.log.push(entry.clone());
             state.received_at.push_back(now);
         }
-        fresh.get(ready).map(|entry| entry.committed_at + delay)
+        new_entries.get(ready).map(|entry| entry.committed_at + delay)
     }
 }
 
-/// Returns how many first entries two logs share. A term has one primary, so entries with the same
-/// term and position are the same.
+/// Returns the length of the common prefix of two logs. A term has one primary, so entries with the
+/// same term and position are identical.
 fn common_length(own: &[Arc<LogEntry>], leader: &[Arc<LogEntry>]) -> usize {
-    let same = |at: usize| own[at].term == leader[at].term && own[at].end == leader[at].end;
+    let same =
+        |index: usize| own[index].term == leader[index].term && own[index].end == leader[index].end;
     let mut length = own.len().min(leader.len());
     while length > 0 && !same(length - 1) {
         length -= 1;
--- a/crates/fake/src/fakedb/server.rs
+++ b/crates/fake/src/fakedb/server.rs
@@ -11,7 +11,9 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 
-use super::engine::{self, Control, ExecError, Field, Outcome, ResultRows};
+use super::engine::{
+    self, ExecError, ResultField, ResultRows, StatementOutcome, TransactionControl,
+};
 use super::store::{ConnectionEntry, DatabaseState, LockKey, Transaction};
 use super::value::{ColumnType, Value};
 use super::{Database, GroupCore, SqlError};
@@ -21,7 +23,7 @@
 const SSL_REQUEST: i32 = 80_877_103;
 const GSS_REQUEST: i32 = 80_877_104;
 
-/// Answers are written out beyond this size, so a large result is not held in memory.
+/// Buffered output is flushed beyond this size, so a large result is not held in memory.
 const FLUSH_BYTES: usize = 64 * 1024;
 
 /// Largest message accepted, so that a broken length cannot exhaust memory.
@@ -30,24 +32,24 @@
 /// Longest wait for a row lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
 
-static NEXT_PROCESS: AtomicI32 = AtomicI32::new(1000);
+static NEXT_PROCESS_ID: AtomicI32 = AtomicI32::new(1000);
 
-/// Why a message was not carried out.
-enum Failure {
+/// Reason why a message was not executed.
+enum MessageError {
     Sql(SqlError),
-    /// The connection ended: the caller left or the database was killed.
+    /// The connection ended: the client disconnected or the database was killed.
     Ended,
 }
 
-impl From<SqlError> for Failure {
+impl From<SqlError> for MessageError {
     fn from(error: SqlError) -> Self {
-        Failure::Sql(error)
+        MessageError::Sql(error)
     }
 }
 
-impl From<std::io::Error> for Failure {
+impl From<std::io::Error> for MessageError {
     fn from(_: std::io::Error) -> Self {
-        Failure::Ended
+        MessageError::Ended
     }
 }
 
@@ -55,46 +57,46 @@
     statement: Option<Arc<Statement>>,
     sql: Arc<str>,
     params: Vec<ColumnType>,
-    fields: Option<Vec<Field>>,
+    fields: Option<Vec<ResultField>>,
 }
 
 struct Portal {
     statement: Option<Arc<Statement>>,
     sql: Arc<str>,
     params: Vec<Value>,
-    fields: Option<Vec<Field>>,
+    fields: Option<Vec<ResultField>>,
     formats: Vec<i16>,
     /// Rows left after an execution with a row limit, and the count sent so far.
-    rest: Option<(ResultRows, usize)>,
+    suspended: Option<(ResultRows, usize)>,
 }
 
 /// A statement's slot; dropping it admits the next statement.
 struct SlotGuard<'a> {
     database: &'a Database,
-    run: u64,
+    incarnation: u64,
 }
 
 impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.database.lock();
-        if state.run == self.run {
+        if state.incarnation == self.incarnation {
             state.counters.slots_busy = state.counters.slots_busy.saturating_sub(1);
-            state.wake_next();
+            state.wake_next_statement();
         }
     }
 }
 
-struct Connection<'a> {
+struct ClientConnection<'a> {
     core: &'a GroupCore,
-    at: usize,
+    database_index: usize,
     database: &'a Database,
     stream: Arc<TcpStream>,
     out: Vec<u8>,
-    run: u64,
-    process: i32,
+    incarnation: u64,
+    process_id: i32,
     cancel: Arc<AtomicBool>,
-    /// Notified when it is this connection's turn for a slot.
-    turn: Arc<Condvar>,
+    /// Notified when this connection may acquire a slot.
+    slot_ready: Arc<Condvar>,
     transaction: Option<Transaction>,
     statements: HashMap<String, PreparedStatement>,
     portals: HashMap<String, Portal>,
@@ -103,24 +105,29 @@
 }
 
 /// Serves a connection until it ends.
-pub(crate) fn serve(core: &GroupCore, at: usize, database: &Database, stream: TcpStream) {
+pub(crate) fn serve(
+    core: &GroupCore,
+    database_index: usize,
+    database: &Database,
+    stream: TcpStream,
+) {
     drop(stream.set_nodelay(true));
     let stream = Arc::new(stream);
     let mut reader = BufReader::with_capacity(16 * 1024, &*stream);
-    let Some((process, run, cancel)) = open(database, &stream, &mut reader) else {
+    let Some((process_id, incarnation, cancel)) = start_up(database, &stream, &mut reader) else {
         drop(stream.shutdown(Shutdown::Both));
         return;
     };
-    let mut connection = Connection {
+    let mut connection = ClientConnection {
         core,
-        at,
+        database_index,
         database,
         stream: stream.clone(),
         out: Vec::with_capacity(4096),
-        run,
-        process,
+        incarnation,
+        process_id,
         cancel,
-        turn: Arc::new(Condvar::new()),
+        slot_ready: Arc::new(Condvar::new()),
         transaction: None,
         statements: HashMap::new(),
         portals: HashMap::new(),
@@ -134,7 +141,7 @@
     connection.rollback();
     {
         let mut state = database.lock();
-        if state.run == run && state.connections.remove(&process).is_some() {
+        if state.incarnation == incarnation && state.connections.remove(&process_id).is_some() {
             state.counters.connections -= 1;
         }
     }
@@ -153,13 +160,14 @@
     Ok((head[0], body))
 }
 
-/// Does the start-up; returns the connection's number, the database's run and its cancel flag.
-fn open(
+/// Performs the start-up handshake; returns the connection's process ID, the incarnation of the
+/// database and the connection's cancel flag.
+fn start_up(
     database: &Database,
     stream: &Arc<TcpStream>,
     reader: &mut impl Read,
 ) -> Option<(i32, u64, Arc<AtomicBool>)> {
-    let run = database.lock().run;
+    let incarnation = database.lock().incarnation;
     loop {
         let mut head = [0; 8];
         reader.read_exact(&mut head).ok()?;
@@ -170,29 +178,29 @@
         }
         let mut body = vec![0; length - 8];
         reader.read_exact(&mut body).ok()?;
-        pass_gate(database, run).ok()?;
+        wait_while_frozen(database, incarnation).ok()?;
         match code {
             SSL_REQUEST | GSS_REQUEST => (&**stream).write_all(b"N").ok()?,
             CANCEL_REQUEST => {
-                cancel(database, &body);
+                handle_cancel_request(database, &body);
                 return None;
             }
             _ if code >> 16 == PROTOCOL_MAJOR => break,
             _ => return None,
         }
     }
-    let process = NEXT_PROCESS.fetch_add(1, Ordering::Relaxed);
-    let secret = process.wrapping_mul(0x5bd1_e995);
+    let process_id = NEXT_PROCESS_ID.fetch_add(1, Ordering::Relaxed);
+    let secret = process_id.wrapping_mul(0x5bd1_e995);
     let cancel = Arc::new(AtomicBool::new(false));
     let (admitted, open_time) = {
         let mut state = database.lock();
-        if state.run != run || !state.alive {
+        if state.incarnation != incarnation || !state.alive {
             return None;
         }
         let admitted = state.counters.connections < state.connection_limit;
         if admitted {
             let entry = ConnectionEntry { secret, stream: stream.clone(), cancel: cancel.clone() };
-            state.connections.insert(process, entry);
+            state.connections.insert(process_id, entry);
             state.counters.connections += 1;
             let now = state.counters.connections;
             state.counters.connections_highest = state.counters.connections_highest.max(now);
@@ -209,7 +217,7 @@
         return None;
     }
     std::thread::sleep(open_time);
-    put(&mut out, b'R', |out| out.extend_from_slice(&0i32.to_be_bytes()));
+    put_message(&mut out, b'R', |out| out.extend_from_slice(&0i32.to_be_bytes()));
     for (name, value) in [
         ("server_version", "16.0"),
         ("server_encoding", "UTF8"),
@@ -219,34 +227,35 @@
         ("integer_datetimes", "on"),
         ("standard_conforming_strings", "on"),
     ] {
-        put(&mut out, b'S', |out| {
+        put_message(&mut out, b'S', |out| {
             put_text(out, name);
             put_text(out, value);
         });
     }
-    put(&mut out, b'K', |out| {
-        out.extend_from_slice(&process.to_be_bytes());
+    put_message(&mut out, b'K', |out| {
+        out.extend_from_slice(&process_id.to_be_bytes());
         out.extend_from_slice(&secret.to_be_bytes());
     });
-    put(&mut out, b'Z', |out| out.push(b'I'));
-    let opened = pass_gate(database, run).is_ok() && (&**stream).write_all(&out).is_ok();
+    put_message(&mut out, b'Z', |out| out.push(b'I'));
+    let opened =
+        wait_while_frozen(database, incarnation).is_ok() && (&**stream).write_all(&out).is_ok();
     if !opened {
         let mut state = database.lock();
-        if state.run == run && state.connections.remove(&process).is_some() {
+        if state.incarnation == incarnation && state.connections.remove(&process_id).is_some() {
             state.counters.connections -= 1;
         }
         return None;
     }
-    Some((process, run, cancel))
+    Some((process_id, incarnation, cancel))
 }
 
-fn cancel(database: &Database, body: &[u8]) {
+fn handle_cancel_request(database: &Database, body: &[u8]) {
     let number = |at: usize| {
         let bytes = body.get(at..at + 4).and_then(|bytes| bytes.try_into().ok());
         bytes.map(i32::from_be_bytes)
     };
-    let (Some(process), Some(secret)) = (number(0), number(4)) else { return };
-    if let Some(connection) = database.lock().connections.get(&process)
+    let (Some(process_id), Some(secret)) = (number(0), number(4)) else { return };
+    if let Some(connection) = database.lock().connections.get(&process_id)
         && connection.secret == secret
     {
         connection.cancel.store(true, Ordering::SeqCst);
@@ -255,12 +264,12 @@
 }
 
 /// Waits while the database is frozen.
-fn pass_gate(database: &Database, run: u64) -> Result<(), Failure> {
+fn wait_while_frozen(database: &Database, incarnation: u64) -> Result<(), MessageError> {
     let mut state = database.lock();
-    while state.frozen && state.run == run {
-        state = wait(&database.gate_changed, state);
+    while state.frozen && state.incarnation == incarnation {
+        state = wait(&database.status_changed, state);
     }
-    if state.run == run { Ok(()) } else { Err(Failure::Ended) }
+    if state.incarnation == incarnation { Ok(()) } else { Err(MessageError::Ended) }
 }
 
 fn wait<'a>(
@@ -270,7 +279,7 @@
     changed.wait(state).unwrap_or_else(PoisonError::into_inner)
 }
 
-fn put(out: &mut Vec<u8>, kind: u8, write: impl FnOnce(&mut Vec<u8>)) {
+fn put_message(out: &mut Vec<u8>, kind: u8, write: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     let at = out.len();
     out.extend_from_slice(&[0; 4]);
@@ -285,7 +294,7 @@
 }
 
 fn put_error(out: &mut Vec<u8>, severity: &str, error: &SqlError) {
-    put(out, b'E', |out| {
+    put_message(out, b'E', |out| {
         for (field, text) in
             [(b'S', severity), (b'V', severity), (b'C', error.code), (b'M', &error.message)]
         {
@@ -296,8 +305,8 @@
     });
 }
 
-fn put_fields(out: &mut Vec<u8>, fields: &[Field], formats: &[i16]) {
-    put(out, b'T', |out| {
+fn put_fields(out: &mut Vec<u8>, fields: &[ResultField], formats: &[i16]) {
+    put_message(out, b'T', |out| {
         out.extend_from_slice(&(fields.len() as i16).to_be_bytes());
         for (at, field) in fields.iter().enumerate() {
             put_text(out, &field.name);
@@ -322,7 +331,7 @@
 struct BodyReader<'a>(&'a [u8]);
 
 impl<'a> BodyReader<'a> {
-    fn bytes(&mut self, count: usize) -> Result<&'a [u8], Failure> {
+    fn bytes(&mut self, count: usize) -> Result<&'a [u8], MessageError> {
         if self.0.len() < count {
             return Err(SqlError::new("08P01", "message is too short").into());
         }
@@ -331,21 +340,21 @@
         Ok(bytes)
     }
 
-    fn int16(&mut self) -> Result<i16, Failure> {
+    fn int16(&mut self) -> Result<i16, MessageError> {
         let bytes = self.bytes(2)?;
         Ok(i16::from_be_bytes([bytes[0], bytes[1]]))
     }
 
-    fn int32(&mut self) -> Result<i32, Failure> {
+    fn int32(&mut self) -> Result<i32, MessageError> {
         let bytes = self.bytes(4)?;
         Ok(i32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
     }
 
-    fn count(&mut self) -> Result<usize, Failure> {
+    fn count(&mut self) -> Result<usize, MessageError> {
         Ok(self.int16()?.max(0) as usize)
     }
 
-    fn text(&mut self) -> Result<&'a str, Failure> {
+    fn text(&mut self) -> Result<&'a str, MessageError> {
         let end = self.0.iter().position(|byte| *byte == 0).unwrap_or(self.0.len());
         let bytes = self.bytes(end)?;
         self.0 = self.0.get(1..).unwrap_or_default();
@@ -360,16 +369,16 @@
 }
 
 /// Finds the service time that a `/*service_ms=N*/` comment asks for.
-fn commented_service_time(sql: &str) -> Option<Duration> {
+fn requested_service_time(sql: &str) -> Option<Duration> {
     let (_, rest) = sql.split_once("/*service_ms=")?;
     let (millis, _) = rest.split_once("*/")?;
     Some(Duration::from_secs_f64(millis.trim().parse::<f64>().ok()?.clamp(0.0, 3.6e6) / 1e3))
 }
 
-impl<'a> Connection<'a> {
-    /// Carries out one message; an error ends the connection.
-    fn handle(&mut self, kind: u8, body: &[u8]) -> Result<(), Failure> {
-        pass_gate(self.database, self.run)?;
+impl<'a> ClientConnection<'a> {
+    /// Executes one message; an error ends the connection.
+    fn handle(&mut self, kind: u8, body: &[u8]) -> Result<(), MessageError> {
+        wait_while_frozen(self.database, self.incarnation)?;
         if self.skipping && kind != b'S' {
             return Ok(());
         }
@@ -387,8 +396,8 @@
             _ => Err(SqlError::new("0A000", "message type is not supported by fakedb").into()),
         };
         match result {
-            Err(Failure::Sql(error)) => {
-                self.fail(&error);
+            Err(MessageError::Sql(error)) => {
+                self.send_error(&error);
                 self.skipping = true;
                 Ok(())
             }
@@ -396,25 +405,25 @@
         }
     }
 
-    fn flush(&mut self) -> Result<(), Failure> {
-        pass_gate(self.database, self.run)?;
+    fn flush(&mut self) -> Result<(), MessageError> {
+        wait_while_frozen(self.database, self.incarnation)?;
         (&*self.stream).write_all(&self.out)?;
         self.out.clear();
         Ok(())
     }
 
-    fn ready(&mut self) -> Result<(), Failure> {
+    fn send_ready(&mut self) -> Result<(), MessageError> {
         let status = match &self.transaction {
             Some(transaction) if transaction.failed => b'E',
             Some(_) => b'T',
             None => b'I',
         };
-        put(&mut self.out, b'Z', |out| out.push(status));
+        put_message(&mut self.out, b'Z', |out| out.push(status));
         self.flush()
     }
 
-    /// Reports an error and rolls back what it ends.
-    fn fail(&mut self, error: &SqlError) {
+    /// Sends an error and rolls back the transaction that it ends.
+    fn send_error(&mut self, error: &SqlError) {
         put_error(&mut self.out, "ERROR", error);
         if self.transaction.as_ref().is_some_and(|transaction| transaction.explicit) {
             let mut state = self.database.lock();
@@ -435,7 +444,7 @@
     fn rollback(&mut self) {
         if let Some(transaction) = self.transaction.take() {
             let mut state = self.database.lock();
-            if state.run == self.run {
+            if state.incarnation == self.incarnation {
                 state.release(&transaction);
             }
             drop(state);
@@ -444,18 +453,18 @@
     }
 
     /// Commits the open transaction; returns the command tag.
-    fn commit(&mut self) -> Result<&'static str, Failure> {
+    fn commit(&mut self) -> Result<&'static str, MessageError> {
         let Some(transaction) = self.transaction.take() else { return Ok("COMMIT") };
         if transaction.failed {
             return Ok("ROLLBACK");
         }
         let result = {
             let mut state = self.database.lock();
-            while state.frozen && state.run == self.run {
-                state = wait(&self.database.gate_changed, state);
+            while state.frozen && state.incarnation == self.incarnation {
+                state = wait(&self.database.status_changed, state);
             }
-            if state.run != self.run {
-                return Err(Failure::Ended);
+            if state.incarnation != self.incarnation {
+                return Err(MessageError::Ended);
             }
             state.commit(&transaction)
         };
@@ -466,25 +475,25 @@
         Ok("COMMIT")
     }
 
-    fn simple_query(&mut self, body: &[u8]) -> Result<(), Failure> {
+    fn simple_query(&mut self, body: &[u8]) -> Result<(), MessageError> {
         let result = BodyReader(body).text().and_then(|sql| self.run_script(sql));
         match result {
-            Err(Failure::Sql(error)) => self.fail(&error),
+            Err(MessageError::Sql(error)) => self.send_error(&error),
             other => other?,
         }
-        self.ready()
+        self.send_ready()
     }
 
     /// Runs the statements of a simple query; together they are one implicit transaction.
-    fn run_script(&mut self, sql: &str) -> Result<(), Failure> {
+    fn run_script(&mut self, sql: &str) -> Result<(), MessageError> {
         let statements = parse(sql)?;
         if statements.is_empty() {
-            put(&mut self.out, b'I', |_| {});
+            put_message(&mut self.out, b'I', |_| {});
         }
         let count = statements.len();
         for (at, statement) in statements.iter().enumerate() {
             let (outcome, slot) = self.run_statement(statement, sql, &[])?;
-            // The commit comes before the completion, so that a completion is never taken back.
+            // Commits before the completion is sent, because a sent completion cannot be revoked.
             let is_implicit =
                 self.transaction.as_ref().is_some_and(|transaction| !transaction.explicit);
             if at + 1 == count && is_implicit {
@@ -496,12 +505,12 @@
         Ok(())
     }
 
-    fn put_outcome(&mut self, outcome: Outcome) -> Result<(), Failure> {
+    fn put_outcome(&mut self, outcome: StatementOutcome) -> Result<(), MessageError> {
         let (tag, rows) = match outcome {
-            Outcome::Rows(fields, rows) => (None, Some((fields, rows))),
-            Outcome::Changed(tag, rows) => (Some(tag), rows),
-            Outcome::Done(tag) => (Some(tag.to_string()), None),
-            Outcome::Sleep(_) | Outcome::Followed(_) => return Ok(()),
+            StatementOutcome::Rows(fields, rows) => (None, Some((fields, rows))),
+            StatementOutcome::Changed(tag, rows) => (Some(tag), rows),
+            StatementOutcome::Done(tag) => (Some(tag.to_string()), None),
+            StatementOutcome::Sleep(_) | StatementOutcome::Followed(_) => return Ok(()),
         };
         let mut count = 0;
         if let Some((fields, rows)) = rows {
@@ -515,8 +524,13 @@
         Ok(())
     }
 
-    fn put_row(&mut self, fields: &[Field], formats: &[i16], row: &[Value]) -> Result<(), Failure> {
-        put(&mut self.out, b'D', |out| {
+    fn put_row(
+        &mut self,
+        fields: &[ResultField],
+        formats: &[i16],
+        row: &[Value],
+    ) -> Result<(), MessageError> {
+        put_message(&mut self.out, b'D', |out| {
             out.extend_from_slice(&(row.len() as i16).to_be_bytes());
             for (at, (value, field)) in row.iter().zip(fields).enumerate() {
                 field.kind.encode(value, format_of(formats, at) == 1, out);
@@ -526,72 +540,73 @@
     }
 
     fn put_complete(&mut self, tag: &str) {
-        put(&mut self.out, b'C', |out| put_text(out, tag));
+        put_message(&mut self.out, b'C', |out| put_text(out, tag));
     }
 
     /// Waits in arrival order for a slot.
-    fn take_slot(&self) -> Result<SlotGuard<'a>, Failure> {
+    fn acquire_slot(&self) -> Result<SlotGuard<'a>, MessageError> {
         let mut state = self.database.lock();
-        if state.run != self.run {
-            return Err(Failure::Ended);
+        if state.incarnation != self.incarnation {
+            return Err(MessageError::Ended);
         }
-        state.slot_queue.push_back((self.process, self.turn.clone()));
+        state.slot_queue.push_back((self.process_id, self.slot_ready.clone()));
         loop {
-            if state.run != self.run {
-                return Err(Failure::Ended);
+            if state.incarnation != self.incarnation {
+                return Err(MessageError::Ended);
             }
-            let is_next = state.slot_queue.front().is_some_and(|(next, _)| *next == self.process);
+            let is_next =
+                state.slot_queue.front().is_some_and(|(next, _)| *next == self.process_id);
             let is_cancelled = self.cancel.load(Ordering::SeqCst);
             let is_free = state.counters.slots_busy < state.slot_limit && !state.frozen;
             if is_cancelled || (is_next && is_free) {
-                state.slot_queue.retain(|(other, _)| *other != self.process);
+                state.slot_queue.retain(|(other, _)| *other != self.process_id);
                 state.counters.waiting = state.slot_queue.len() as u32;
                 state.counters.slots_busy += u32::from(!is_cancelled);
                 let busy = state.counters.slots_busy;
                 state.counters.slots_highest = state.counters.slots_highest.max(busy);
-                state.wake_next();
+                state.wake_next_statement();
                 drop(state);
                 return if is_cancelled {
-                    Err(self.cancelled())
+                    Err(self.record_cancellation())
                 } else {
-                    Ok(SlotGuard { database: self.database, run: self.run })
+                    Ok(SlotGuard { database: self.database, incarnation: self.incarnation })
                 };
             }
             state.counters.waiting = state.slot_queue.len() as u32;
             let waiting = state.counters.waiting;
             state.counters.waiting_highest = state.counters.waiting_highest.max(waiting);
-            state = wait(&self.turn, state);
+            state = wait(&self.slot_ready, state);
         }
     }
 
-    fn cancelled(&self) -> Failure {
+    fn record_cancellation(&self) -> MessageError {
         self.database.lock().counters.cancelled += 1;
         SqlError::new("57014", "canceling statement due to user request").into()
     }
 
-    /// Holds the slot for a time that a cancel request or a kill ends.
-    fn hold(&self, time: Duration) -> Result<(), Failure> {
+    /// Holds the slot for `time`; a cancel request or a kill ends the wait early.
+    fn hold_slot(&self, time: Duration) -> Result<(), MessageError> {
         let end = Instant::now() + time;
         let mut state = self.database.lock();
         loop {
-            if state.run != self.run {
-                return Err(Failure::Ended);
+            if state.incarnation != self.incarnation {
+                return Err(MessageError::Ended);
             }
             if self.cancel.load(Ordering::SeqCst) {
                 drop(state);
-                return Err(self.cancelled());
+                return Err(self.record_cancellation());
             }
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(());
             }
-            let waited = self.database.gate_changed.wait_timeout(state, left);
+            let waited = self.database.status_changed.wait_timeout(state, left);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 
     /// Waits until a lock is no longer held by `holder`.
-    fn wait_for_lock(&mut self, key: &LockKey, holder: u64) -> Result<(), Failure> {
+    fn wait_for_lock(&mut self, key: &LockKey, holder: u64) -> Result<(), MessageError> {
         let Some(transaction) = &self.transaction else { return Ok(()) };
         let waiter = transaction.id;
         let end = Instant::now() + LOCK_TIMEOUT;
@@ -601,8 +616,8 @@
         }
         state.waits.insert(waiter, holder);
         let result = loop {
-            if state.run != self.run {
-                return Err(Failure::Ended);
+            if state.incarnation != self.incarnation {
+                return Err(MessageError::Ended);
             }
             if state.locks.get(key) != Some(&holder) {
                 break Ok(());
@@ -621,74 +636,77 @@
         drop(state);
         match result {
             Ok(()) => Ok(()),
-            Err(()) if self.cancel.load(Ordering::SeqCst) => Err(self.cancelled()),
+            Err(()) if self.cancel.load(Ordering::SeqCst) => Err(self.record_cancellation()),
             Err(()) => Err(SqlError::new("55P03", "lock wait timed out").into()),
         }
     }
 
-    /// Runs one statement. The slot is returned too, because sending the rows belongs to it.
+    /// Runs one statement. Returns the slot as well, because it is held until the rows are sent.
     fn run_statement(
         &mut self,
         statement: &Statement,
         sql: &str,
         params: &[Value],
-    ) -> Result<(Outcome, Option<SlotGuard<'a>>), Failure> {
+    ) -> Result<(StatementOutcome, Option<SlotGuard<'a>>), MessageError> {
         self.cancel.store(false, Ordering::SeqCst);
-        let control = engine::control_of(statement);
+        let control = engine::transaction_control(statement);
         let is_failed = self.transaction.as_ref().is_some_and(|transaction| transaction.failed);
-        if is_failed && !matches!(control, Some(Control::Commit | Control::Rollback)) {
+        if is_failed
+            && !matches!(control, Some(TransactionControl::Commit | TransactionControl::Rollback))
+        {
             let message = "current transaction is aborted, commands ignored until end of \
                            transaction block";
             return Err(SqlError::new("25P02", message).into());
         }
         let takes_slot = !engine::is_administration(sql);
-        let mut slot = if takes_slot { Some(self.take_slot()?) } else { None };
+        let mut slot = if takes_slot { Some(self.acquire_slot()?) } else { None };
         let service_time = {
             let mut state = self.database.lock();
             state.counters.statements += 1;
-            commented_service_time(sql).unwrap_or(state.service_time)
+            requested_service_time(sql).unwrap_or(state.service_time)
         };
         if takes_slot && control.is_none() && !service_time.is_zero() {
-            self.hold(service_time)?;
+            self.hold_slot(service_time)?;
         }
         if let Some(control) = control {
-            return Ok((Outcome::Done(self.run_control(control)?), slot));
+            return Ok((StatementOutcome::Done(self.run_control(control)?), slot));
         }
         loop {
             let result = {
                 let mut state = self.database.lock();
-                while state.frozen && state.run == self.run {
-                    state = wait(&self.database.gate_changed, state);
+                while state.frozen && state.incarnation == self.incarnation {
+                    state = wait(&self.database.status_changed, state);
                 }
-                if state.run != self.run {
-                    return Err(Failure::Ended);
+                if state.incarnation != self.incarnation {
+                    return Err(MessageError::Ended);
                 }
                 let transaction = self.transaction.get_or_insert_with(|| state.begin(false));
-                engine::execute(&mut state, transaction, statement, params, self.process)
+                engine::execute(&mut state, transaction, statement, params, self.process_id)
             };
             match result {
                 Err(ExecError::Blocked(key, holder)) => {
                     slot = None;
                     self.wait_for_lock(&key, holder)?;
-                    slot = if takes_slot { Some(self.take_slot()?) } else { slot };
+                    slot = if takes_slot { Some(self.acquire_slot()?) } else { slot };
                 }
                 Err(ExecError::Failed(error)) => return Err(error.into()),
-                Ok(Outcome::Sleep(seconds)) => {
-                    self.hold(Duration::from_secs_f64(seconds.clamp(0.0, 3600.0)))?;
-                    let fields = vec![Field { name: "pg_sleep".into(), kind: ColumnType::Void }];
+                Ok(StatementOutcome::Sleep(seconds)) => {
+                    self.hold_slot(Duration::from_secs_f64(seconds.clamp(0.0, 3600.0)))?;
+                    let fields =
+                        vec![ResultField { name: "pg_sleep".into(), kind: ColumnType::Void }];
                     let rows = vec![vec![Value::text("")]].into_iter();
-                    return Ok((Outcome::Rows(fields, ResultRows::List(rows)), slot));
+                    return Ok((StatementOutcome::Rows(fields, ResultRows::List(rows)), slot));
                 }
-                Ok(Outcome::Followed(fields)) => {
-                    // Discards at once what the leader does not have, if the link is up.
-                    self.core.replicate_once(self.at);
+                Ok(StatementOutcome::Followed(fields)) => {
+                    // If the leader is reachable, discards at once the entries that it does not have.
+                    self.core.replicate_once(self.database_index);
                     self.database.wake_all();
                     self.database.group.notify();
                     let rows = vec![vec![Value::text("t")]].into_iter();
-                    return Ok((Outcome::Rows(fields, ResultRows::List(rows)), slot));
+                    return Ok((StatementOutcome::Rows(fields, ResultRows::List(rows)), slot));
                 }
                 Ok(outcome) => {
-                    self.forget_statements(statement);
+                    self.remove_prepared_statements(statement);
                     if !takes_slot {
                         // A fence or promotion may have released locks and opened a term.
                         self.database.locks_changed.notify_all();
@@ -700,8 +718,8 @@
         }
     }
 
-    /// Drops the prepared statements that DISCARD or DEALLOCATE names.
-    fn forget_statements(&mut self, statement: &Statement) {
+    /// Removes the prepared statements that DISCARD or DEALLOCATE names.
+    fn remove_prepared_statements(&mut self, statement: &Statement) {
         match statement {
             Statement::Deallocate { name, .. } if !name.value.eq_ignore_ascii_case("all") => {
                 self.statements.remove(&name.value);
@@ -711,38 +729,38 @@
         }
     }
 
-    fn run_control(&mut self, control: Control) -> Result<&'static str, Failure> {
+    fn run_control(&mut self, control: TransactionControl) -> Result<&'static str, MessageError> {
         match control {
-            Control::Begin { read_only } => {
+            TransactionControl::Begin { read_only } => {
                 let mut state = self.database.lock();
                 let transaction = self.transaction.get_or_insert_with(|| state.begin(true));
                 transaction.explicit = true;
                 transaction.read_only |= read_only;
                 Ok("BEGIN")
             }
-            Control::Commit => self.commit(),
-            Control::Rollback => {
+            TransactionControl::Commit => self.commit(),
+            TransactionControl::Rollback => {
                 self.rollback();
                 Ok("ROLLBACK")
             }
         }
     }
 
-    fn sync(&mut self) -> Result<(), Failure> {
+    fn sync(&mut self) -> Result<(), MessageError> {
         self.skipping = false;
         if self.transaction.as_ref().is_some_and(|transaction| !transaction.explicit) {
             match self.commit() {
-                Err(Failure::Sql(error)) => self.fail(&error),
+                Err(MessageError::Sql(error)) => self.send_error(&error),
                 other => drop(other?),
             }
         }
         if self.transaction.is_none() {
             self.portals.clear();
         }
-        self.ready()
+        self.send_ready()
     }
 
-    fn parse(&mut self, body: &[u8]) -> Result<(), Failure> {
+    fn parse(&mut self, body: &[u8]) -> Result<(), MessageError> {
         let mut body = BodyReader(body);
         let name = body.text()?.to_string();
         let sql = body.text()?;
@@ -774,11 +792,11 @@
         }
         self.statements
             .insert(name, PreparedStatement { statement, sql: sql.into(), params, fields });
-        put(&mut self.out, b'1', |_| {});
+        put_message(&mut self.out, b'1', |_| {});
         Ok(())
     }
 
-    fn bind(&mut self, body: &[u8]) -> Result<(), Failure> {
+    fn bind(&mut self, body: &[u8]) -> Result<(), MessageError> {
         let mut body = BodyReader(body);
         let portal = body.text()?.to_string();
         let name = body.text()?;
@@ -814,21 +832,21 @@
             params,
             fields: prepared.fields.clone(),
             formats: result_formats,
-            rest: None,
+            suspended: None,
         };
         self.portals.insert(portal, portal_state);
-        put(&mut self.out, b'2', |_| {});
+        put_message(&mut self.out, b'2', |_| {});
         Ok(())
     }
 
-    fn describe(&mut self, body: &[u8]) -> Result<(), Failure> {
+    fn describe(&mut self, body: &[u8]) -> Result<(), MessageError> {
         let mut body = BodyReader(body);
         let kind = body.bytes(1)?[0];
         let name = body.text()?;
         let missing = || SqlError::new("26000", format!("\"{name}\" does not exist"));
         let (fields, formats) = if kind == b'S' {
             let prepared = self.statements.get(name).ok_or_else(missing)?;
-            put(&mut self.out, b't', |out| {
+            put_message(&mut self.out, b't', |out| {
                 out.extend_from_slice(&(prepared.params.len() as i16).to_be_bytes());
                 for kind in &prepared.params {
                     out.extend_from_slice(&kind.oid().to_be_bytes());
@@ -841,12 +859,12 @@
         };
         match fields {
             Some(fields) => put_fields(&mut self.out, fields, formats),
-            None => put(&mut self.out, b'n', |_| {}),
+            None => put_message(&mut self.out, b'n', |_| {}),
         }
         Ok(())
     }
 
-    fn execute(&mut self, body: &[u8]) -> Result<(), Failure> {
+    fn execute(&mut self, body: &[u8]) -> Result<(), MessageError> {
         let mut body = BodyReader(body);
         let name = body.text()?.to_string();
         let limit = body.int32()?;
@@ -856,28 +874,28 @@
             .remove(&name)
             .ok_or_else(|| SqlError::new("34000", format!("portal \"{name}\" does not exist")))?;
         let Some(statement) = portal.statement.clone() else {
-            put(&mut self.out, b'I', |_| {});
+            put_message(&mut self.out, b'I', |_| {});
             return Ok(());
         };
         let mut tag = None;
         let mut slot = None;
-        let (rows, mut sent) = match portal.rest.take() {
+        let (rows, mut sent) = match portal.suspended.take() {
             Some(rest) => (Some(rest.0), rest.1),
             None => {
                 let (outcome, taken) =
                     self.run_statement(&statement, &portal.sql, &portal.params)?;
                 slot = taken;
                 let rows = match outcome {
-                    Outcome::Rows(_, rows) => Some(rows),
-                    Outcome::Changed(text, rows) => {
+                    StatementOutcome::Rows(_, rows) => Some(rows),
+                    StatementOutcome::Changed(text, rows) => {
                         tag = Some(text);
                         rows.map(|(_, rows)| rows)
                     }
-                    Outcome::Done(text) => {
+                    StatementOutcome::Done(text) => {
                         tag = Some(text.to_string());
                         None
                     }
-                    Outcome::Sleep(_) | Outcome::Followed(_) => None,
+                    StatementOutcome::Sleep(_) | StatementOutcome::Followed(_) => None,
                 };
                 (rows, 0)
             }
@@ -892,9 +910,9 @@
                 left -= 1;
             }
             if left == 0 && tag.is_none() {
-                portal.rest = Some((rows, sent));
+                portal.suspended = Some((rows, sent));
                 self.portals.insert(name, portal);
-                put(&mut self.out, b's', |_| {});
+                put_message(&mut self.out, b's', |_| {});
                 return Ok(());
             }
         }
@@ -903,7 +921,7 @@
         Ok(())
     }
 
-    fn close(&mut self, body: &[u8]) -> Result<(), Failure> {
+    fn close(&mut self, body: &[u8]) -> Result<(), MessageError> {
         let mut body = BodyReader(body);
         let kind = body.bytes(1)?[0];
         let name = body.text()?;
@@ -912,7 +930,7 @@
         } else {
             self.portals.remove(name);
         }
-        put(&mut self.out, b'3', |_| {});
+        put_message(&mut self.out, b'3', |_| {});
         Ok(())
     }
 }
--- a/crates/fake/src/fakedb/store.rs
+++ b/crates/fake/src/fakedb/store.rs
@@ -1,6 +1,6 @@
 //! Tables, the log, and the state of one database.
 //!
-//! A transaction keeps its changes to itself until it commits. A commit appends one entry to the
+//! The changes of a transaction are private until it commits. A commit appends one entry to the
 //! log and applies it to the tables, so the tables always equal the applied part of the log and can
 //! be rebuilt from it when a replica has to discard entries.
 
@@ -94,8 +94,8 @@
 /// A change in the log.
 #[derive(Clone, Debug)]
 pub(crate) enum LogChange {
-    /// First entry of a term. With it, the term of the last log entry tells whose log a database
-    /// holds even before the first commit of a new term.
+    /// First entry of a term. It makes the term of the last log entry identify the primary of the log
+    /// even before the first commit of a new term.
     OpenTerm,
     Create(Arc<TableDef>),
     Drop(Arc<str>),
@@ -133,7 +133,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Transaction {
     pub(crate) id: u64,
-    /// Epoch of the database when the transaction began; a fence ends the epoch.
+    /// Epoch of the database when the transaction began. A fence ends the epoch.
     pub(crate) epoch: u64,
     pub(crate) explicit: bool,
     pub(crate) read_only: bool,
@@ -157,7 +157,7 @@
     }
 }
 
-/// A connection as other threads see it.
+/// The part of a connection that other threads use.
 #[derive(Debug)]
 pub(crate) struct ConnectionEntry {
     pub(crate) secret: i32,
@@ -188,8 +188,8 @@
     /// Statements that wait for a slot, in arrival order, by the number of their connection.
     pub(crate) slot_queue: VecDeque<(i32, Arc<Condvar>)>,
     pub(crate) connections: HashMap<i32, ConnectionEntry>,
-    /// Grows with every kill, so that connections of an earlier run do not go on.
-    pub(crate) run: u64,
+    /// Incremented by every kill, so that connections of an earlier incarnation end.
+    pub(crate) incarnation: u64,
     pub(crate) alive: bool,
     pub(crate) frozen: bool,
     pub(crate) cut: bool,
@@ -250,13 +250,13 @@
         true
     }
 
-    /// Wakes the first statement that waits for a slot, if one is free. Only the first is woken,
-    /// because with all of them 40 connections reached a quarter of the throughput.
-    pub(crate) fn wake_next(&self) {
+    /// Wakes the first statement that waits for a slot, if one is free. Waking all of them reduces
+    /// the throughput of 40 connections to a quarter.
+    pub(crate) fn wake_next_statement(&self) {
         if self.counters.slots_busy < self.slot_limit
-            && let Some((_, turn)) = self.slot_queue.front()
+            && let Some((_, slot_ready)) = self.slot_queue.front()
         {
-            turn.notify_one();
+            slot_ready.notify_one();
         }
     }
 
@@ -300,7 +300,8 @@
         }
     }
 
-    /// Discards the log after the first `length` entries, and the data made from it.
+    /// Discards the log after the first `length` entries, and rebuilds the tables from the rest if
+    /// any of the discarded entries was applied.
     pub(crate) fn truncate(&mut self, length: usize) {
         self.received_at.truncate(length.saturating_sub(self.applied));
         self.log.truncate(length);
@@ -339,7 +340,8 @@
         }
     }
 
-    /// Accepts a fence at `term` by a supervisor and returns whether it is in force.
+    /// Fences the database at `term` for a supervisor; returns whether that supervisor's fence is in
+    /// force.
     pub(crate) fn fence(&mut self, term: u64, by: &str) -> bool {
         if term == self.term && self.fenced_by.as_deref() == Some(by) {
             return true;
--- a/crates/fake/src/fakedb/value.rs
+++ b/crates/fake/src/fakedb/value.rs
@@ -118,7 +118,8 @@
 
 impl Eq for Value {}
 
-/// Type of a column or parameter. `numeric` is held as a double, which is enough for test amounts.
+/// Type of a column or parameter. `numeric` is a double, which is precise enough for the amounts in
+/// tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ColumnType {
     Bool,
@@ -161,7 +162,7 @@
         })
     }
 
-    /// Finds a type by its SQL name; unknown names are held as text.
+    /// Returns the type with an SQL name; unknown types are treated as text.
     pub(crate) fn from_sql(name: &str) -> Self {
         let name = name.to_ascii_lowercase();
         let word = name.split(['(', ' ']).next().unwrap_or_default();
