--- a/crates/fake/src/fakeplatform.rs
+++ b/crates/fake/src/fakeplatform.rs
@@ -1,12 +1,12 @@
-//! The platform's key-value service and list of VMs, by the published HTTP API of Consul.
+//! A fake of the platform's key-value service and list of VMs, with the published HTTP API of Consul.
 //!
-//! An HTTP server on an inner port does the work; callers reach it through a relay of
-//! [`faultproxy`](crate::faultproxy), which refuses, holds or closes their connections during an
-//! outage or to lose an answer. Control calls under `/control/` work on both ports, so they still
-//! work on the inner one during an outage.
+//! An HTTP server listens on an internal port; clients reach it through a relay of
+//! [`faultproxy`](crate::faultproxy), which refuses, holds or closes their connections to simulate an
+//! outage or a lost answer. Control calls under `/control/` work on both ports, so the internal port
+//! still accepts them during an outage.
 //!
 //! Not modelled: lock delays, access tokens, several data centres of the key-value store. A session
-//! ends exactly at its time to live; the real service may take up to twice as long.
+//! expires exactly at its time to live; the real service may take up to twice as long.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,24 +22,25 @@
 use serde_json::{Value, json};
 use tiny_http::{Header, Request, Response, Server};
 
-use crate::faultproxy::Link;
+use crate::faultproxy::RelayLink;
 use crate::http::{ControlRequest, answer_control, listen};
 
 /// Largest value in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// Shortest and longest time to live of a session that the API accepts.
-const SESSION_TTL: std::ops::RangeInclusive<Duration> =
+/// Times to live of a session that the API accepts.
+const SESSION_TTL_RANGE: std::ops::RangeInclusive<Duration> =
     Duration::from_secs(10)..=Duration::from_secs(86_400);
 
-/// Wait of a blocking query that states none, and the longest one.
+/// Wait of a blocking query that specifies none.
 const DEFAULT_WAIT: Duration = Duration::from_secs(300);
+/// Longest wait of a blocking query.
 const MAX_WAIT: Duration = Duration::from_secs(600);
 
 /// Name of the service whose instances are the VMs.
-const SERVICE: &str = "cicadawick";
+const SERVICE_NAME: &str = "cicadawick";
 
-/// How an outage looks to callers.
+/// Effect of an outage on clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OutageMode {
@@ -51,7 +52,7 @@
     Hang,
 }
 
-/// A VM of the list.
+/// A VM in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FakeVm {
     pub name: String,
@@ -62,7 +63,7 @@
     pub leaving: bool,
 }
 
-/// Counters of calls; a blocking query counts once, when it arrives.
+/// Counters of calls. A blocking query counts once, when it arrives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounters {
     pub get: u64,
@@ -78,13 +79,13 @@
     pub list: u64,
     /// Blocking queries of the list of VMs.
     pub watch_list: u64,
-    /// Answers lost on purpose.
+    /// Answers that were dropped as an injected fault.
     pub lost: u64,
     pub total: u64,
 }
 
 #[derive(Debug, Default)]
-struct Entry {
+struct KeyEntry {
     bytes: Vec<u8>,
     create_index: u64,
     modify_index: u64,
@@ -93,30 +94,30 @@
 }
 
 #[derive(Debug)]
-struct Session {
+struct LockSession {
     name: String,
     ttl: Option<Duration>,
-    ends: Option<Instant>,
-    deletes: bool,
+    expires_at: Option<Instant>,
+    deletes_keys: bool,
 }
 
 #[derive(Debug, Default)]
-struct Store {
+struct PlatformStore {
     index: u64,
-    entries: BTreeMap<String, Entry>,
-    /// Index of the deletion of keys that are gone.
+    entries: BTreeMap<String, KeyEntry>,
+    /// Index at which each deleted key was deleted.
     deleted: HashMap<String, u64>,
-    sessions: HashMap<String, Session>,
+    sessions: HashMap<String, LockSession>,
     next_session: u64,
     vms: BTreeMap<String, FakeVm>,
-    /// Control calls that the list does not show yet; `None` removes.
-    vm_changes: VecDeque<(Instant, String, Option<FakeVm>)>,
-    /// What the control calls say now.
-    vm_targets: BTreeMap<String, FakeVm>,
+    /// Changes that the list does not show yet, with the time from which it does; `None` removes.
+    pending_vm_changes: VecDeque<(Instant, String, Option<FakeVm>)>,
+    /// VMs as the control calls last set them.
+    current_vms: BTreeMap<String, FakeVm>,
     vm_index: u64,
 
     list_lag: Duration,
-    slow: Duration,
+    answer_delay: Duration,
     outage: OutageMode,
     lose_next: u64,
     lose_share: f64,
@@ -125,7 +126,7 @@
     stopping: bool,
 }
 
-impl Store {
+impl PlatformStore {
     fn next_index(&mut self) -> u64 {
         self.index += 1;
         self.index
@@ -143,7 +144,7 @@
         }
     }
 
-    fn write(&mut self, key: &str, bytes: Vec<u8>) -> &mut Entry {
+    fn write(&mut self, key: &str, bytes: Vec<u8>) -> &mut KeyEntry {
         let index = self.next_index();
         let entry = self.entries.entry(key.to_string()).or_default();
         if entry.create_index == 0 {
@@ -163,7 +164,7 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in held {
-            if session.deletes {
+            if session.deletes_keys {
                 self.remove(&key);
             } else {
                 let index = self.next_index();
@@ -175,19 +176,19 @@
         }
     }
 
-    /// Ends sessions and shows VM changes that are due; returns when the next one is.
-    fn advance(&mut self, now: Instant) -> Option<Instant> {
+    /// Expires sessions and applies VM changes that are due; returns when the next of them is due.
+    fn apply_due_changes(&mut self, now: Instant) -> Option<Instant> {
         let ended: Vec<String> = self
             .sessions
             .iter()
-            .filter(|(_, session)| session.ends.is_some_and(|ends| ends <= now))
+            .filter(|(_, session)| session.expires_at.is_some_and(|expires_at| expires_at <= now))
             .map(|(id, _)| id.clone())
             .collect();
         for id in ended {
             self.end_session(&id);
         }
-        while self.vm_changes.front().is_some_and(|(due, _, _)| *due <= now) {
-            if let Some((_, name, vm)) = self.vm_changes.pop_front() {
+        while self.pending_vm_changes.front().is_some_and(|(due, _, _)| *due <= now) {
+            if let Some((_, name, vm)) = self.pending_vm_changes.pop_front() {
                 match vm {
                     Some(vm) => drop(self.vms.insert(name, vm)),
                     None => drop(self.vms.remove(&name)),
@@ -195,25 +196,25 @@
                 self.vm_index = self.next_index();
             }
         }
-        let session = self.sessions.values().filter_map(|session| session.ends).min();
-        let change = self.vm_changes.front().map(|(due, _, _)| *due);
+        let session = self.sessions.values().filter_map(|session| session.expires_at).min();
+        let change = self.pending_vm_changes.front().map(|(due, _, _)| *due);
         session.into_iter().chain(change).min()
     }
 
-    fn change_vm(&mut self, name: &str, vm: Option<FakeVm>) {
+    fn schedule_vm_change(&mut self, name: &str, vm: Option<FakeVm>) {
         match &vm {
-            Some(vm) => drop(self.vm_targets.insert(name.to_string(), vm.clone())),
-            None => drop(self.vm_targets.remove(name)),
+            Some(vm) => drop(self.current_vms.insert(name.to_string(), vm.clone())),
+            None => drop(self.current_vms.remove(name)),
         }
         let due = Instant::now() + self.list_lag;
-        // A change never overtakes an earlier one when the lag is made shorter.
-        let due = self.vm_changes.back().map_or(due, |(last, _, _)| due.max(*last));
-        self.vm_changes.push_back((due, name.to_string(), vm));
+        // Keeps the order of changes when the lag is reduced.
+        let due = self.pending_vm_changes.back().map_or(due, |(last, _, _)| due.max(*last));
+        self.pending_vm_changes.push_back((due, name.to_string(), vm));
     }
 
-    /// Decides whether the answer to a change is lost.
-    fn loses_answer(&mut self) -> bool {
-        // A seed gives the same losses in every run.
+    /// Decides whether the answer to a change is dropped.
+    fn drops_answer(&mut self) -> bool {
+        // Draws for every change, so that a seed gives the same losses in every run.
         let by_share = self.random.unit() < self.lose_share;
         let is_lost = self.lose_next > 0 || by_share;
         self.lose_next = self.lose_next.saturating_sub(1);
@@ -224,12 +225,12 @@
 
 #[derive(Debug)]
 struct PlatformCore {
-    store: Mutex<Store>,
+    store: Mutex<PlatformStore>,
     changed: Condvar,
-    link: Arc<Link>,
+    link: Arc<RelayLink>,
 }
 
-/// A running platform; dropping it stops it.
+/// A running fake platform; dropping it stops it.
 ///
 /// ```
 /// use fake::fakeplatform::{FakePlatform, FakeVm};
@@ -264,37 +265,37 @@
     /// Fails if a port cannot be bound.
     pub fn start(port: u16) -> anyhow::Result<Self> {
         let (server, control_address) = listen(0)?;
-        let link = Link::start(port, control_address)?;
-        let store = Store { index: 1, vm_index: 1, ..Store::default() };
+        let link = RelayLink::start(port, control_address)?;
+        let store = PlatformStore { index: 1, vm_index: 1, ..PlatformStore::default() };
         let core =
             Arc::new(PlatformCore { store: Mutex::new(store), changed: Condvar::new(), link });
         let (worker, shared) = (server.clone(), core.clone());
-        let answering = std::thread::spawn(move || {
+        let request_thread = std::thread::spawn(move || {
             for request in worker.incoming_requests() {
-                // Blocking queries wait for minutes, so each request has its own thread.
+                // Blocking queries wait for minutes, so each request gets its own thread.
                 let core = shared.clone();
                 std::thread::spawn(move || core.answer(request));
             }
         });
         let shared = core.clone();
-        let advancing = std::thread::spawn(move || shared.advance());
-        let threads = vec![answering, advancing];
+        let timer_thread = std::thread::spawn(move || shared.apply_due_changes());
+        let threads = vec![request_thread, timer_thread];
         Ok(FakePlatform { core, server, control_address, threads })
     }
 
-    /// Returns the address for callers.
+    /// Returns the address for clients.
     pub fn address(&self) -> SocketAddr {
         self.core.link.address()
     }
 
-    /// Returns the inner address, whose control calls also work during an outage.
+    /// Returns the internal address, which accepts control calls also during an outage.
     pub fn control_address(&self) -> SocketAddr {
         self.control_address
     }
 
     /// Adds or replaces a VM; the list shows it after the list lag.
     pub fn put_vm(&self, vm: FakeVm) {
-        self.core.change(|store| store.change_vm(&vm.name.clone(), Some(vm)));
+        self.core.change(|store| store.schedule_vm_change(&vm.name.clone(), Some(vm)));
     }
 
     /// Marks a VM as leaving; the list shows it after the list lag.
@@ -308,17 +309,17 @@
 
     /// Removes a VM; the list shows it after the list lag.
     pub fn remove_vm(&self, name: &str) {
-        self.core.change(|store| store.change_vm(name, None));
+        self.core.change(|store| store.schedule_vm_change(name, None));
     }
 
-    /// Sets how much later than the control calls the list changes.
+    /// Sets the delay after which the list shows the changes made by control calls.
     pub fn set_list_lag(&self, lag: Duration) {
         self.core.change(|store| store.list_lag = lag);
     }
 
-    /// Delays each answer, after the change took effect.
+    /// Delays each answer by this time, after the change took effect.
     pub fn set_slow(&self, delay: Duration) {
-        self.core.change(|store| store.slow = delay);
+        self.core.change(|store| store.answer_delay = delay);
     }
 
     /// Starts or ends an outage.
@@ -330,13 +331,13 @@
         self.core.set_outage(mode)
     }
 
-    /// Loses the answers to the next `count` changes (PUT and DELETE): the change takes effect and
-    /// the connection closes without an answer.
+    /// Drops the answers to the next `count` changes (PUT and DELETE): the change takes effect and the
+    /// connection closes without an answer.
     pub fn lose_next(&self, count: u64) {
         self.core.change(|store| store.lose_next = count);
     }
 
-    /// Loses the answers to a share (0 to 1) of all changes; the seed fixes which ones.
+    /// Drops the answers to a share (0 to 1) of all changes; the seed determines which ones.
     pub fn lose_share(&self, share: f64, seed: u64) {
         self.core.change(|store| {
             store.lose_share = share;
@@ -367,33 +368,34 @@
     }
 }
 
-/// The parts of a request's URL.
-struct Target {
+/// Decoded path and query parameters of a request.
+struct RequestTarget {
     path: String,
     params: HashMap<String, String>,
 }
 
-impl Target {
+impl RequestTarget {
     fn parse(url: &str) -> Self {
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
         let pairs = query.split('&').filter(|pair| !pair.is_empty());
         let params = pairs.map(|pair| pair.split_once('=').unwrap_or((pair, "")));
-        Target {
+        RequestTarget {
             path: decode_percent(path),
             params: params.map(|(key, value)| (key.into(), decode_percent(value))).collect(),
         }
     }
 
-    fn number(&self, name: &str) -> Result<Option<u64>, Answer> {
+    fn number(&self, name: &str) -> Result<Option<u64>, HttpAnswer> {
         let text = self.params.get(name);
-        text.map(|text| text.parse().map_err(|_| Answer::text(400, "Invalid number"))).transpose()
+        text.map(|text| text.parse().map_err(|_| HttpAnswer::text(400, "Invalid number")))
+            .transpose()
     }
 
-    fn wait(&self) -> Result<Duration, Answer> {
+    fn wait(&self) -> Result<Duration, HttpAnswer> {
         match self.params.get("wait") {
             Some(text) => parse_duration(text)
                 .map(|wait| wait.min(MAX_WAIT))
-                .ok_or_else(|| Answer::text(400, "Invalid wait time")),
+                .ok_or_else(|| HttpAnswer::text(400, "Invalid wait time")),
             None => Ok(DEFAULT_WAIT),
         }
     }
@@ -433,24 +435,24 @@
 }
 
 /// An answer to a call.
-struct Answer {
+struct HttpAnswer {
     status: u16,
     body: String,
     index: Option<u64>,
     is_change: bool,
 }
 
-impl Answer {
+impl HttpAnswer {
     fn text(status: u16, body: &str) -> Self {
-        Answer { status, body: body.to_string(), index: None, is_change: false }
+        HttpAnswer { status, body: body.to_string(), index: None, is_change: false }
     }
 
     fn json(value: &Value, index: Option<u64>) -> Self {
-        Answer { status: 200, body: value.to_string(), index, is_change: false }
+        HttpAnswer { status: 200, body: value.to_string(), index, is_change: false }
     }
 
     fn change(done: bool) -> Self {
-        Answer { status: 200, body: done.to_string(), index: None, is_change: true }
+        HttpAnswer { status: 200, body: done.to_string(), index: None, is_change: true }
     }
 }
 
@@ -464,27 +466,27 @@
 }
 
 impl PlatformCore {
-    fn lock(&self) -> MutexGuard<'_, Store> {
+    fn lock(&self) -> MutexGuard<'_, PlatformStore> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change<R>(&self, change: impl FnOnce(&mut Store) -> R) -> R {
+    fn change<R>(&self, change: impl FnOnce(&mut PlatformStore) -> R) -> R {
         let result = {
             let mut store = self.lock();
             let result = change(&mut store);
-            store.advance(Instant::now());
+            store.apply_due_changes(Instant::now());
             result
         };
         self.changed.notify_all();
         result
     }
 
-    /// Shows changes that become due, until the platform stops.
-    fn advance(&self) {
+    /// Expires sessions and applies VM changes as they become due, until the platform stops.
+    fn apply_due_changes(&self) {
         let mut store = self.lock();
         while !store.stopping {
             let before = store.index;
-            let due = store.advance(Instant::now());
+            let due = store.apply_due_changes(Instant::now());
             if store.index != before {
                 self.changed.notify_all();
             }
@@ -508,15 +510,15 @@
 
     fn mark_leaving(&self, name: &str) -> anyhow::Result<()> {
         self.change(|store| {
-            let vm = store.vm_targets.get(name).cloned();
+            let vm = store.current_vms.get(name).cloned();
             let vm = vm.with_context(|| format!("no VM is named {name}"))?;
-            store.change_vm(name, Some(FakeVm { leaving: true, ..vm }));
+            store.schedule_vm_change(name, Some(FakeVm { leaving: true, ..vm }));
             Ok(())
         })
     }
 
     fn answer(&self, mut request: Request) {
-        let target = Target::parse(request.url());
+        let target = RequestTarget::parse(request.url());
         if target.path.starts_with("/control/") {
             answer_control(request, |control| self.control(control));
             return;
@@ -535,14 +537,14 @@
         let answer = match self.call(&method, &target, body) {
             Ok(answer) | Err(answer) => answer,
         };
-        let (slow, is_lost) = {
+        let (answer_delay, is_lost) = {
             let mut store = self.lock();
-            (store.slow, answer.is_change && store.loses_answer())
+            (store.answer_delay, answer.is_change && store.drops_answer())
         };
-        std::thread::sleep(slow);
-        if is_lost && let Some(caller) = request.remote_addr().copied() {
-            // The relay's connection closes, so the answer reaches nobody.
-            self.link.drop_connection(caller);
+        std::thread::sleep(answer_delay);
+        if is_lost && let Some(client) = request.remote_addr().copied() {
+            // Closes the relayed connection, so the answer does not arrive.
+            self.link.drop_connection(client);
         }
         let mut response = Response::from_string(answer.body).with_status_code(answer.status);
         let headers = [
@@ -554,11 +556,16 @@
                 response.add_header(header);
             }
         }
-        // A caller that left does not want the answer.
+        // Fails if the client has disconnected.
         drop(request.respond(response));
     }
 
-    fn call(&self, method: &str, target: &Target, body: Vec<u8>) -> Result<Answer, Answer> {
+    fn call(
+        &self,
+        method: &str,
+        target: &RequestTarget,
+        body: Vec<u8>,
+    ) -> Result<HttpAnswer, HttpAnswer> {
         self.lock().counters.total += 1;
         let parts: Vec<&str> = target.path.trim_start_matches('/').splitn(3, '/').collect();
         match (method, parts.as_slice()) {
@@ -568,19 +575,19 @@
             ("PUT", ["v1", "session", rest]) => self.session(rest, &body),
             ("GET", ["v1", "health", rest]) => match rest.strip_prefix("service/") {
                 Some(service) => self.list(service, target),
-                None => Err(Answer::text(404, "not found")),
+                None => Err(HttpAnswer::text(404, "not found")),
             },
-            _ => Err(Answer::text(404, "not found")),
+            _ => Err(HttpAnswer::text(404, "not found")),
         }
     }
 
-    /// Waits until an index is above the one that the caller knows.
-    fn wait_above<'a>(
+    /// Waits until an index exceeds the one in the request, or its wait time ends.
+    fn wait_for_index<'a>(
         &'a self,
-        mut store: MutexGuard<'a, Store>,
-        target: &Target,
-        index_of: impl Fn(&Store) -> u64,
-    ) -> Result<MutexGuard<'a, Store>, Answer> {
+        mut store: MutexGuard<'a, PlatformStore>,
+        target: &RequestTarget,
+        index_of: impl Fn(&PlatformStore) -> u64,
+    ) -> Result<MutexGuard<'a, PlatformStore>, HttpAnswer> {
         let Some(known) = target.number("index")? else { return Ok(store) };
         let end = Instant::now() + target.wait()?;
         while known > 0 && index_of(&store) <= known && !store.stopping {
@@ -594,13 +601,13 @@
         Ok(store)
     }
 
-    fn get(&self, key: &str, target: &Target) -> Result<Answer, Answer> {
+    fn get(&self, key: &str, target: &RequestTarget) -> Result<HttpAnswer, HttpAnswer> {
         let mut store = self.lock();
         match target.params.get("index") {
             Some(index) if index != "0" => store.counters.watch += 1,
             _ => store.counters.get += 1,
         }
-        let store = self.wait_above(store, target, |store| store.key_index(key))?;
+        let store = self.wait_for_index(store, target, |store| store.key_index(key))?;
         let index = Some(store.key_index(key));
         Ok(match store.entries.get(key) {
             Some(entry) => {
@@ -615,15 +622,20 @@
                 if let Some(session) = &entry.session {
                     value["Session"] = json!(session);
                 }
-                Answer::json(&json!([value]), index)
+                HttpAnswer::json(&json!([value]), index)
             }
-            None => Answer { status: 404, body: String::new(), index, is_change: false },
+            None => HttpAnswer { status: 404, body: String::new(), index, is_change: false },
         })
     }
 
-    fn put(&self, key: &str, target: &Target, body: Vec<u8>) -> Result<Answer, Answer> {
+    fn put(
+        &self,
+        key: &str,
+        target: &RequestTarget,
+        body: Vec<u8>,
+    ) -> Result<HttpAnswer, HttpAnswer> {
         if body.len() > MAX_VALUE_BYTES {
-            return Err(Answer::text(413, "Request body too large, max size: 1048576 bytes."));
+            return Err(HttpAnswer::text(413, "Request body too large, max size: 1048576 bytes."));
         }
         let cas = target.number("cas")?;
         self.change(|store| {
@@ -632,16 +644,16 @@
             if let Some(cas) = cas {
                 store.counters.put_cas += 1;
                 if store.entries.get(key).map_or(0, |entry| entry.modify_index) != cas {
-                    return Ok(Answer::change(false));
+                    return Ok(HttpAnswer::change(false));
                 }
                 store.write(key, body);
             } else if let Some(session) = target.params.get("acquire") {
                 store.counters.put_lock += 1;
                 if !store.sessions.contains_key(session) {
-                    return Err(Answer::text(500, &format!("invalid session {session:?}")));
+                    return Err(HttpAnswer::text(500, &format!("invalid session {session:?}")));
                 }
                 if holder.as_ref().is_some_and(|holder| holder != session) {
-                    return Ok(Answer::change(false));
+                    return Ok(HttpAnswer::change(false));
                 }
                 let entry = store.write(key, body);
                 entry.lock_index += u64::from(holder.is_none());
@@ -649,18 +661,18 @@
             } else if let Some(session) = target.params.get("release") {
                 store.counters.put_lock += 1;
                 if holder.as_ref() != Some(session) {
-                    return Ok(Answer::change(false));
+                    return Ok(HttpAnswer::change(false));
                 }
                 store.write(key, body).session = None;
             } else {
                 store.counters.put += 1;
                 store.write(key, body);
             }
-            Ok(Answer::change(true))
+            Ok(HttpAnswer::change(true))
         })
     }
 
-    fn delete(&self, key: &str, target: &Target) -> Result<Answer, Answer> {
+    fn delete(&self, key: &str, target: &RequestTarget) -> Result<HttpAnswer, HttpAnswer> {
         let cas = target.number("cas")?;
         self.change(|store| {
             store.counters.delete += 1;
@@ -669,11 +681,11 @@
             if matches {
                 store.remove(key);
             }
-            Ok(Answer::change(matches))
+            Ok(HttpAnswer::change(matches))
         })
     }
 
-    fn session(&self, rest: &str, body: &[u8]) -> Result<Answer, Answer> {
+    fn session(&self, rest: &str, body: &[u8]) -> Result<HttpAnswer, HttpAnswer> {
         self.lock().counters.session += 1;
         if rest == "create" {
             return self.create_session(body);
@@ -681,81 +693,83 @@
         self.change(|store| match rest.split_once('/') {
             Some(("renew", id)) => {
                 let session = store.sessions.get_mut(id);
-                let session = session.ok_or_else(|| Answer::text(404, "Session id not found"))?;
-                session.ends = session.ttl.map(|ttl| Instant::now() + ttl);
+                let session =
+                    session.ok_or_else(|| HttpAnswer::text(404, "Session id not found"))?;
+                session.expires_at = session.ttl.map(|ttl| Instant::now() + ttl);
                 let ttl = session.ttl.map_or(0, |ttl| ttl.as_secs());
                 let value = json!([{ "ID": id, "Name": session.name, "TTL": format!("{ttl}s") }]);
-                Ok(Answer { is_change: true, ..Answer::json(&value, None) })
+                Ok(HttpAnswer { is_change: true, ..HttpAnswer::json(&value, None) })
             }
             Some(("destroy", id)) => {
                 store.end_session(id);
-                Ok(Answer::change(true))
+                Ok(HttpAnswer::change(true))
             }
-            _ => Err(Answer::text(404, "not found")),
+            _ => Err(HttpAnswer::text(404, "not found")),
         })
     }
 
-    fn create_session(&self, body: &[u8]) -> Result<Answer, Answer> {
+    fn create_session(&self, body: &[u8]) -> Result<HttpAnswer, HttpAnswer> {
         let request: SessionRequest = if body.is_empty() {
             SessionRequest::default()
         } else {
-            serde_json::from_slice(body)
-                .map_err(|error| Answer::text(400, &format!("Request decode failed: {error}")))?
+            serde_json::from_slice(body).map_err(|error| {
+                HttpAnswer::text(400, &format!("Request decode failed: {error}"))
+            })?
         };
         let ttl = match request.ttl.as_str() {
             "" => None,
             text => {
-                let ttl = parse_duration(text).filter(|ttl| SESSION_TTL.contains(ttl));
+                let ttl = parse_duration(text).filter(|ttl| SESSION_TTL_RANGE.contains(ttl));
                 let message = "Invalid Session TTL, must be between [10s=24h0m0s]";
-                Some(ttl.ok_or_else(|| Answer::text(400, message))?)
+                Some(ttl.ok_or_else(|| HttpAnswer::text(400, message))?)
             }
         };
         self.change(|store| {
             store.next_session += 1;
             let id = format!("00000000-0000-4000-8000-{:012x}", store.next_session);
-            let session = Session {
+            let session = LockSession {
                 name: request.name,
                 ttl,
-                ends: ttl.map(|ttl| Instant::now() + ttl),
-                deletes: request.behavior == "delete",
+                expires_at: ttl.map(|ttl| Instant::now() + ttl),
+                deletes_keys: request.behavior == "delete",
             };
             store.sessions.insert(id.clone(), session);
-            Ok(Answer { is_change: true, ..Answer::json(&json!({ "ID": id }), None) })
+            Ok(HttpAnswer { is_change: true, ..HttpAnswer::json(&json!({ "ID": id }), None) })
         })
     }
 
-    fn list(&self, service: &str, target: &Target) -> Result<Answer, Answer> {
+    fn list(&self, service: &str, target: &RequestTarget) -> Result<HttpAnswer, HttpAnswer> {
         let mut store = self.lock();
         match target.params.get("index") {
             Some(index) if index != "0" => store.counters.watch_list += 1,
             _ => store.counters.list += 1,
         }
-        let store = self.wait_above(store, target, |store| store.vm_index)?;
-        let vms = store.vms.values().filter(|_| service == SERVICE);
+        let store = self.wait_for_index(store, target, |store| store.vm_index)?;
+        let vms = store.vms.values().filter(|_| service == SERVICE_NAME);
         let rows: Vec<Value> = vms.map(render_vm).collect();
-        Ok(Answer::json(&json!(rows), Some(store.vm_index)))
+        Ok(HttpAnswer::json(&json!(rows), Some(store.vm_index)))
     }
 
-    /// `GET /control/state`; `POST /control/vms` with a [`FakeVm`], `POST
-    /// /control/vms/NAME/{leaving,remove}`, `POST /control/set` with a [`PlatformChange`].
+    /// Handles `GET /control/state`, `POST /control/vms` with a [`FakeVm`], `POST
+    /// /control/vms/NAME/{leaving,remove}`, and `POST /control/set` with a [`PlatformChange`].
     fn control(&self, request: &ControlRequest) -> anyhow::Result<Value> {
         let parts: Vec<&str> = request.path.split('/').filter(|part| !part.is_empty()).collect();
         match (request.method.as_str(), parts.as_slice()) {
             ("GET", ["control", "state"]) => {}
             ("POST", ["control", "vms"]) => {
                 let vm: FakeVm = serde_json::from_str(&request.body)?;
-                self.change(|store| store.change_vm(&vm.name.clone(), Some(vm)));
+                self.change(|store| store.schedule_vm_change(&vm.name.clone(), Some(vm)));
             }
             ("POST", ["control", "vms", name, "leaving"]) => self.mark_leaving(name)?,
             ("POST", ["control", "vms", name, "remove"]) => {
-                self.change(|store| store.change_vm(name, None));
+                self.change(|store| store.schedule_vm_change(name, None));
             }
             ("POST", ["control", "set"]) => {
                 let change: PlatformChange = serde_json::from_str(&request.body)?;
                 let time = |millis: f64| Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1e3);
                 self.change(|store| {
                     store.list_lag = change.list_lag_ms.map_or(store.list_lag, time);
-                    store.slow = change.slow_ms.map_or(store.slow, time);
+                    store.answer_delay = change.slow_ms.map_or(store.answer_delay, time);
                     store.lose_next = change.lose_next.unwrap_or(store.lose_next);
                     store.lose_share = change.lose_share.unwrap_or(store.lose_share);
                     store.random = change.lose_seed.map_or(store.random, SeededRandom::new);
@@ -770,7 +784,7 @@
         Ok(json!({
             "counters": store.counters,
             "list_lag_ms": store.list_lag.as_secs_f64() * 1e3,
-            "slow_ms": store.slow.as_secs_f64() * 1e3,
+            "slow_ms": store.answer_delay.as_secs_f64() * 1e3,
             "outage": store.outage,
             "lose_next": store.lose_next,
             "lose_share": store.lose_share,
@@ -802,8 +816,8 @@
     json!({
         "Node": { "Node": vm.name, "Datacenter": vm.data_centre, "Address": address },
         "Service": {
-            "ID": format!("{SERVICE}-{}", vm.name),
-            "Service": SERVICE,
+            "ID": format!("{SERVICE_NAME}-{}", vm.name),
+            "Service": SERVICE_NAME,
             "Address": address,
             "Port": vm.peer_address.port(),
             "Meta": { "admin_port": vm.admin_port.to_string() },
--- a/crates/fake/src/faultproxy.rs
+++ b/crates/fake/src/faultproxy.rs
@@ -1,9 +1,9 @@
-//! A TCP relay with faults that are set at run time.
+//! A TCP relay that injects faults which are set at run time.
 //!
-//! Each link listens on its own port and relays to one upstream. Per link and direction, bytes can
-//! be delayed, made to vanish (cut), held (freeze) or counted down to a drop. A connection that
-//! lost bytes to a cut stays open but passes nothing in that direction afterwards: TCP never
-//! delivers a stream with a gap, so neither does the relay.
+//! Each link listens on its own port and relays to one upstream. Bytes can be delayed, discarded (cut)
+//! or limited to a number, for each link and direction, and a whole link can be frozen. A connection
+//! that lost bytes to a cut stays open but relays nothing more in that direction: TCP never delivers
+//! a stream with a gap, so neither does the relay.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -23,11 +23,11 @@
 
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Chunks on the way in one direction; beyond them the sender is held back.
-const QUEUED_CHUNKS: usize = 256;
+/// Chunks queued in one direction of a connection; a full queue blocks the sender.
+const MAX_QUEUED_CHUNKS: usize = 256;
 
-/// A blocked write looks this often whether its connection was dropped.
-const WRITE_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a blocked write checks whether its connection was dropped.
+const WRITE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Direction of bytes on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 struct DirectionFaults {
     delay: Duration,
     cut: bool,
-    /// Bytes that may still pass before the connection is dropped.
+    /// Bytes that may still pass before the connection is closed.
     bytes_left: Option<u64>,
     passed: u64,
 }
@@ -54,43 +54,48 @@
     connections: BTreeMap<u64, Arc<RelayedConnection>>,
     accepted: u64,
     stopping: bool,
-    marked: Vec<MarkedLimit>,
+    marker_limits: Vec<MarkerLimit>,
 }
 
-/// A byte limit of the one connection that first carries a marker towards the upstream.
+/// A byte limit of the connection that first carries a marker to the upstream.
 #[derive(Debug)]
-struct MarkedLimit {
+struct MarkerLimit {
     marker: Vec<u8>,
     direction: Direction,
     bytes_left: u64,
     passed: u64,
-    /// Number of the connection, once the marker was seen.
+    /// Number of the connection that carried the marker; `None` until one did.
     connection: Option<u64>,
 }
 
 impl LinkState {
-    /// Applies the limits by marker to bytes that were read; returns how many may pass and whether
-    /// the connection ends after them.
-    fn apply_marked(&mut self, number: u64, direction: Direction, bytes: &[u8]) -> (usize, bool) {
+    /// Applies the marker limits to bytes that were read; returns how many may pass and whether the
+    /// connection closes after them.
+    fn apply_marker_limits(
+        &mut self,
+        number: u64,
+        direction: Direction,
+        bytes: &[u8],
+    ) -> (usize, bool) {
         if direction == Direction::ToUpstream {
-            for limit in self.marked.iter_mut().filter(|limit| limit.connection.is_none()) {
+            for limit in self.marker_limits.iter_mut().filter(|limit| limit.connection.is_none()) {
                 if bytes.windows(limit.marker.len()).any(|part| part == limit.marker) {
                     limit.connection = Some(number);
                 }
             }
         }
         let found = self
-            .marked
+            .marker_limits
             .iter()
             .position(|limit| limit.connection == Some(number) && limit.direction == direction);
         let Some(at) = found else { return (bytes.len(), false) };
-        let limit = &mut self.marked[at];
+        let limit = &mut self.marker_limits[at];
         let allowed = bytes.len().min(usize::try_from(limit.bytes_left).unwrap_or(usize::MAX));
         limit.bytes_left -= allowed as u64;
         limit.passed += allowed as u64;
         let is_last = limit.bytes_left == 0;
         if is_last {
-            self.marked.remove(at);
+            self.marker_limits.remove(at);
         }
         (allowed, is_last)
     }
@@ -98,25 +103,25 @@
 
 #[derive(Debug)]
 struct RelayedConnection {
-    caller: TcpStream,
+    client: TcpStream,
     upstream: TcpStream,
     dropped: AtomicBool,
 }
 
 impl RelayedConnection {
-    /// Wakes the reading threads without sending anything; the last owner's close sends a reset.
+    /// Wakes the reading threads without sending anything. Closing the last handle then sends a reset.
     fn reset(&self) {
         self.dropped.store(true, Ordering::SeqCst);
-        for stream in [&self.caller, &self.upstream] {
+        for stream in [&self.client, &self.upstream] {
             drop(SockRef::from(stream).set_linger(Some(Duration::ZERO)));
             drop(stream.shutdown(Shutdown::Read));
         }
     }
 
-    /// Closes in order, so that what was written is still delivered.
-    fn finish(&self) {
+    /// Closes with a FIN, so that bytes already written are still delivered.
+    fn close(&self) {
         self.dropped.store(true, Ordering::SeqCst);
-        for stream in [&self.caller, &self.upstream] {
+        for stream in [&self.client, &self.upstream] {
             drop(stream.shutdown(Shutdown::Both));
         }
     }
@@ -134,24 +139,24 @@
 
 /// One link: a listening port and its upstream.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct RelayLink {
     upstream: SocketAddr,
     address: SocketAddr,
     state: Mutex<LinkState>,
     changed: Condvar,
-    accepting: Mutex<Option<AcceptThread>>,
+    accept_thread: Mutex<Option<AcceptThread>>,
 }
 
-impl Link {
+impl RelayLink {
     pub(crate) fn start(port: u16, upstream: SocketAddr) -> anyhow::Result<Arc<Self>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, port))
             .with_context(|| format!("failed to listen on port {port}"))?;
-        let link = Arc::new(Link {
+        let link = Arc::new(RelayLink {
             upstream,
             address: listener.local_addr()?,
             state: Mutex::default(),
             changed: Condvar::new(),
-            accepting: Mutex::default(),
+            accept_thread: Mutex::default(),
         });
         link.accept_on(listener);
         Ok(link)
@@ -179,27 +184,27 @@
                 }
             }
         });
-        let mut accepting = self.accepting.lock().unwrap_or_else(PoisonError::into_inner);
-        *accepting = Some(AcceptThread { stop, thread });
+        let mut accept_thread = self.accept_thread.lock().unwrap_or_else(PoisonError::into_inner);
+        *accept_thread = Some(AcceptThread { stop, thread });
     }
 
     /// Closes or reopens the listening port; open connections stay.
     pub(crate) fn set_refusing(self: &Arc<Self>, refusing: bool) -> anyhow::Result<()> {
-        let mut accepting = self.accepting.lock().unwrap_or_else(PoisonError::into_inner);
-        match (refusing, accepting.take()) {
-            (true, Some(accepting)) => {
-                accepting.stop.store(true, Ordering::SeqCst);
+        let mut accept_thread = self.accept_thread.lock().unwrap_or_else(PoisonError::into_inner);
+        match (refusing, accept_thread.take()) {
+            (true, Some(accept_thread)) => {
+                accept_thread.stop.store(true, Ordering::SeqCst);
                 // Wakes the blocking accept; the thread then drops its listener.
                 drop(TcpStream::connect(self.address));
-                drop(accepting.thread.join());
+                drop(accept_thread.thread.join());
             }
             (false, None) => {
-                drop(accepting);
+                drop(accept_thread);
                 let listener = TcpListener::bind(self.address)
                     .with_context(|| format!("failed to listen on {} again", self.address))?;
                 self.accept_on(listener);
             }
-            (_, unchanged) => *accepting = unchanged,
+            (_, unchanged) => *accept_thread = unchanged,
         }
         Ok(())
     }
@@ -217,7 +222,8 @@
         self.changed.notify_all();
     }
 
-    /// Closes the connection that reaches the upstream from `local`; tells whether there is one.
+    /// Closes the connection whose upstream side has the address `local`; returns whether there is
+    /// one.
     pub(crate) fn drop_connection(&self, local: SocketAddr) -> bool {
         let mut state = self.lock();
         let found = state.connections.iter().find_map(|(number, connection)| {
@@ -226,7 +232,7 @@
         let connection = found.and_then(|number| state.connections.remove(&number));
         drop(state);
         if let Some(connection) = &connection {
-            connection.finish();
+            connection.close();
         }
         self.changed.notify_all();
         connection.is_some()
@@ -238,17 +244,17 @@
         self.reset_all();
     }
 
-    fn relay(self: &Arc<Self>, caller: TcpStream) {
+    fn relay(self: &Arc<Self>, client: TcpStream) {
         let Ok(upstream) = TcpStream::connect(self.upstream) else {
-            drop(SockRef::from(&caller).set_linger(Some(Duration::ZERO)));
+            drop(SockRef::from(&client).set_linger(Some(Duration::ZERO)));
             return;
         };
-        for stream in [&caller, &upstream] {
+        for stream in [&client, &upstream] {
             drop(stream.set_nodelay(true));
-            drop(stream.set_write_timeout(Some(WRITE_POLL)));
+            drop(stream.set_write_timeout(Some(WRITE_POLL_INTERVAL)));
         }
         let dropped = AtomicBool::new(false);
-        let connection = Arc::new(RelayedConnection { caller, upstream, dropped });
+        let connection = Arc::new(RelayedConnection { client, upstream, dropped });
         let number = {
             let mut state = self.lock();
             if state.stopping {
@@ -260,36 +266,37 @@
             number
         };
         let (link, other) = (self.clone(), connection.clone());
-        let back = std::thread::spawn(move || link.pass(&other, number, Direction::ToCaller));
-        self.pass(&connection, number, Direction::ToUpstream);
-        drop(back.join());
+        let to_client_thread =
+            std::thread::spawn(move || link.relay_direction(&other, number, Direction::ToCaller));
+        self.relay_direction(&connection, number, Direction::ToUpstream);
+        drop(to_client_thread.join());
         self.lock().connections.remove(&number);
     }
 
-    /// Passes bytes in one direction until an end or a drop.
-    fn pass(
+    /// Relays bytes in one direction until the source ends or the connection is dropped.
+    fn relay_direction(
         self: &Arc<Self>,
         connection: &Arc<RelayedConnection>,
         number: u64,
         direction: Direction,
     ) {
-        let (sender, receiver) = sync_channel(QUEUED_CHUNKS);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_CHUNKS);
         let (link, other) = (self.clone(), connection.clone());
-        let writer = std::thread::spawn(move || link.write(&other, direction, &receiver));
-        self.read(connection, number, direction, &sender);
+        let writer = std::thread::spawn(move || link.write_target(&other, direction, &receiver));
+        self.read_source(connection, number, direction, &sender);
         drop(sender);
         drop(writer.join());
     }
 
-    fn read(
+    fn read_source(
         &self,
         connection: &RelayedConnection,
         number: u64,
         direction: Direction,
-        sender: &SyncSender<Chunk>,
+        sender: &SyncSender<RelayChunk>,
     ) {
         let mut source = match direction {
-            Direction::ToUpstream => &connection.caller,
+            Direction::ToUpstream => &connection.client,
             Direction::ToCaller => &connection.upstream,
         };
         let mut buffer = vec![0; CHUNK_BYTES];
@@ -305,8 +312,8 @@
             }
             let (due, allowed, is_last) = {
                 let mut state = self.lock();
-                let (count, is_marked_end) =
-                    state.apply_marked(number, direction, &buffer[..count]);
+                let (count, ends_at_marker_limit) =
+                    state.apply_marker_limits(number, direction, &buffer[..count]);
                 let faults = &mut state.faults[direction as usize];
                 has_gap |= faults.cut;
                 if has_gap {
@@ -323,29 +330,29 @@
                     left => left.map(|left| left - allowed as u64),
                 };
                 faults.passed += allowed as u64;
-                (Instant::now() + faults.delay, allowed, is_last || is_marked_end)
+                (Instant::now() + faults.delay, allowed, is_last || ends_at_marker_limit)
             };
             let end = match (count, is_last) {
                 (_, true) => ChunkEnd::Drop,
                 (0, _) => ChunkEnd::Finish,
                 _ => ChunkEnd::More,
             };
-            let chunk = Chunk { due, bytes: buffer[..allowed].to_vec(), end };
+            let chunk = RelayChunk { due, bytes: buffer[..allowed].to_vec(), end };
             if sender.send(chunk).is_err() || end != ChunkEnd::More {
                 return;
             }
         }
     }
 
-    fn write(
+    fn write_target(
         &self,
         connection: &RelayedConnection,
         direction: Direction,
-        receiver: &Receiver<Chunk>,
+        receiver: &Receiver<RelayChunk>,
     ) {
         let mut target = match direction {
             Direction::ToUpstream => &connection.upstream,
-            Direction::ToCaller => &connection.caller,
+            Direction::ToCaller => &connection.client,
         };
         for chunk in receiver {
             if !self.wait_until(connection, chunk.due) {
@@ -363,7 +370,7 @@
                                 | std::io::ErrorKind::Interrupted
                         ) => {}
                     Err(_) => {
-                        connection.finish();
+                        connection.close();
                         return;
                     }
                 }
@@ -374,12 +381,13 @@
             match chunk.end {
                 ChunkEnd::More => {}
                 ChunkEnd::Finish => drop(target.shutdown(Shutdown::Write)),
-                ChunkEnd::Drop => connection.finish(),
+                ChunkEnd::Drop => connection.close(),
             }
         }
     }
 
-    /// Waits for a chunk's time and for the end of a freeze; false if the connection was dropped.
+    /// Waits until a chunk is due and the link is not frozen; returns false if the connection was
+    /// dropped.
     fn wait_until(&self, connection: &RelayedConnection, due: Instant) -> bool {
         if due <= Instant::now() && !self.lock().frozen {
             return !connection.is_dropped();
@@ -405,19 +413,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkEnd {
     More,
-    /// The sender closed its side.
+    /// The source closed its side.
     Finish,
     /// The byte limit is reached.
     Drop,
 }
 
-struct Chunk {
+struct RelayChunk {
     due: Instant,
     bytes: Vec<u8>,
     end: ChunkEnd,
 }
 
-/// Numbers of a link.
+/// Counters of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkCounters {
     pub connections: u64,
@@ -443,11 +451,11 @@
 
 #[derive(Debug)]
 struct ProxyCore {
-    links: Vec<(String, Arc<Link>)>,
+    links: Vec<(String, Arc<RelayLink>)>,
 }
 
 impl FaultProxy {
-    /// Starts a link on a port of the kernel's choice for each named upstream.
+    /// Starts a link for each named upstream, on a port chosen by the kernel.
     ///
     /// # Errors
     ///
@@ -469,7 +477,7 @@
     ) -> anyhow::Result<Self> {
         let mut links = Vec::new();
         for (name, port, upstream) in upstreams {
-            links.push((name.clone(), Link::start(*port, *upstream)?));
+            links.push((name.clone(), RelayLink::start(*port, *upstream)?));
         }
         let core = Arc::new(ProxyCore { links });
         let shared = core.clone();
@@ -496,7 +504,7 @@
         Ok(self.core.link(link)?.address)
     }
 
-    /// Delays bytes each way; it holds for bytes read from now on.
+    /// Delays bytes in each direction; applies to bytes read from now on.
     pub fn set_delay(
         &self,
         link: &str,
@@ -509,8 +517,8 @@
         })
     }
 
-    /// Makes bytes vanish in the given directions, or ends that. Connections that lost bytes stay
-    /// silent in that direction.
+    /// Discards bytes in the given directions, or stops doing so. Connections that lost bytes relay
+    /// nothing more in that direction.
     pub fn set_cut(&self, link: &str, to_upstream: bool, to_caller: bool) -> anyhow::Result<()> {
         self.core.faults(link, |faults| {
             faults[Direction::ToUpstream as usize].cut = to_upstream;
@@ -518,7 +526,7 @@
         })
     }
 
-    /// Holds all bytes, or lets them go on.
+    /// Holds all bytes back, or releases them.
     pub fn set_frozen(&self, link: &str, frozen: bool) -> anyhow::Result<()> {
         self.core.link(link)?.set_frozen(frozen);
         Ok(())
@@ -536,15 +544,15 @@
     }
 
     /// Passes exactly `bytes` more bytes of the link in one direction, then closes the connection
-    /// that carried the last one. The close is in order (FIN), because a reset could discard bytes
-    /// that should still arrive. With 0 the next byte or end closes.
+    /// that carried the last one. It closes with a FIN, because a reset could discard bytes that
+    /// should still arrive. With 0, the next byte or end of stream closes a connection.
     pub fn limit_bytes(&self, link: &str, direction: Direction, bytes: u64) -> anyhow::Result<()> {
         self.core.faults(link, |faults| faults[direction as usize].bytes_left = Some(bytes))
     }
 
-    /// Limits only the connection that first carries `marker` towards the upstream in one piece. The
-    /// count of bytes begins with the piece that holds the marker, so other connections of the link,
-    /// and what this one carried before, do not shift it. With 0 the next byte closes.
+    /// Limits only the connection that first carries `marker` to the upstream within one read. Bytes
+    /// count from that read on, so neither other connections nor earlier bytes of this one affect the
+    /// position of the limit. With 0, the next byte closes the connection.
     pub fn limit_marked(
         &self,
         link: &str,
@@ -552,25 +560,26 @@
         direction: Direction,
         bytes: u64,
     ) -> anyhow::Result<()> {
-        let limit = MarkedLimit {
+        let limit = MarkerLimit {
             marker: marker.as_bytes().to_vec(),
             direction,
             bytes_left: bytes,
             passed: 0,
             connection: None,
         };
-        self.core.link(link)?.lock().marked.push(limit);
+        self.core.link(link)?.lock().marker_limits.push(limit);
         Ok(())
     }
 
-    /// Ends the limits of one marker that were not reached; returns the bytes that passed under them.
+    /// Removes the limits of one marker that were not reached; returns the bytes that passed under
+    /// each of them.
     pub fn clear_marked(&self, link: &str, marker: &str) -> anyhow::Result<Vec<u64>> {
         let mut state = self.core.link(link)?.lock();
-        let (ended, kept) = std::mem::take(&mut state.marked)
+        let (ended, kept) = std::mem::take(&mut state.marker_limits)
             .into_iter()
             .partition(|limit| limit.marker == marker.as_bytes());
-        state.marked = kept;
-        let ended: Vec<MarkedLimit> = ended;
+        state.marker_limits = kept;
+        let ended: Vec<MarkerLimit> = ended;
         Ok(ended.iter().map(|limit| limit.passed).collect())
     }
 
@@ -608,7 +617,7 @@
 }
 
 impl ProxyCore {
-    fn link(&self, name: &str) -> anyhow::Result<&Arc<Link>> {
+    fn link(&self, name: &str) -> anyhow::Result<&Arc<RelayLink>> {
         let found = self.links.iter().find(|(known, _)| known == name);
         found.map(|(_, link)| link).with_context(|| format!("no link is named {name}"))
     }
@@ -624,8 +633,8 @@
         Ok(())
     }
 
-    /// `GET /` and `GET /links/NAME` read; `POST /links/NAME/set` takes a [`LinkChange`], `POST
-    /// /links/NAME/drop` resets the connections.
+    /// `GET /` and `GET /links/NAME` return the state. `POST /links/NAME/set` takes a [`LinkChange`],
+    /// and `POST /links/NAME/drop` resets the connections.
     fn control(&self, request: &ControlRequest) -> anyhow::Result<Value> {
         let parts: Vec<&str> = request.path.split('/').filter(|part| !part.is_empty()).collect();
         match (request.method.as_str(), parts.as_slice()) {
