--- a/crates/fake/src/bin/loadgen.rs
+++ b/crates/fake/src/bin/loadgen.rs
@@ -4,8 +4,8 @@
 
 use fake::loadgen::{LoadMix, LoadOptions, run};
 
-/// Exit code of a run whose checks failed.
-const CHECKS_FAILED: u8 = 3;
+/// Exit code if a check failed.
+const CHECKS_FAILED_CODE: u8 = 3;
 
 fn main() -> anyhow::Result<ExitCode> {
     let flags = xflags::parse_or_exit! {
@@ -23,15 +23,15 @@
         optional --seconds seconds: f64
         /// Ends the run after this many requests.
         optional --count count: u64
-        /// Labels of the session, as in kind=vendor,town=oshakati.
+        /// Labels of the sessions, as in kind=vendor,town=oshakati.
         optional --labels labels: String
         /// User name (default: loadgen).
         optional --user user: String
-        /// Rows of a readings batch (default: 10).
+        /// Rows in a batch of readings (default: 10).
         optional --batch rows: usize
         /// Number of meters (default: 100).
         optional --meters count: u64
-        /// Asks fakedb for this service time per statement, in ms.
+        /// Service time in ms that each statement requests from fakedb.
         optional --service-ms ms: f64
         /// Accepted data age of balance reads in ms; needs --check.
         optional --max-age-ms ms: f64
@@ -66,5 +66,5 @@
         print!("{report}");
     }
     let is_clean = report.checks.is_none_or(|checks| checks.is_clean());
-    Ok(if is_clean { ExitCode::SUCCESS } else { ExitCode::from(CHECKS_FAILED) })
+    Ok(if is_clean { ExitCode::SUCCESS } else { ExitCode::from(CHECKS_FAILED_CODE) })
 }
--- a/crates/fake/src/loadgen.rs
+++ b/crates/fake/src/loadgen.rs
@@ -1,13 +1,13 @@
-//! Callers that send mixes of work and check what they were told.
+//! Clients that send mixes of requests and check the answers.
 //!
 //! Each connection is a thread with a blocking client, so a run has at most a few thousand of them.
-//! With a rate, latency counts from the moment when a request was due, so a stalled server is not
-//! hidden by callers that wait for it. Checks use a second connection straight to the database:
+//! With a rate, latency counts from the time at which a request was due; otherwise clients that wait
+//! for a stalled server would hide the stall. Checks use a separate connection to the database itself:
 //!
-//! - tokens: each acknowledged token is in the table exactly once, and one that was refused is not;
-//! - sessions: a read after an acknowledged write of the same session shows it;
-//! - age: while the run lasts, the checker changes one row again and again. A read of that row may
-//!   miss only changes that were acknowledged less than the accepted age before it was sent.
+//! - tokens: each acknowledged token is in the table exactly once, and no refused token is in it;
+//! - sessions: a read after an acknowledged write of the same session returns that write;
+//! - age: during the run, a thread updates one row periodically. A read of that row may miss only
+//!   updates that were acknowledged less than the accepted age before the read was sent.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -23,32 +23,32 @@
 use postgres::{Client, NoTls, SimpleQueryMessage};
 use serde::{Deserialize, Serialize};
 
-/// Time between two attempts to connect.
+/// Pause between two attempts to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// Time between two changes of the row that the age check reads.
-const MARK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between updates of the row that the age check reads.
+const AGE_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Meter whose balance is the mark of the age check.
-const MARK_METER: u64 = 0;
+/// Meter whose balance the age check reads.
+const AGE_CHECK_METER: u64 = 0;
 
-/// Highest latency that is told apart, in microseconds.
+/// Upper bound of the latency histograms; longer latencies count as this one.
 const MAX_LATENCY_MICROS: u64 = 600_000_000;
 
-/// SQLSTATE under which failures without one are counted.
+/// Code under which failures without an SQLSTATE are counted.
 const NO_SQLSTATE: &str = "connection";
 
-/// Kind of work.
+/// Kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LoadKind {
-    /// Inserts a token with a request key.
+    /// Inserts a token with an idempotency key.
     Token,
     /// Reads a balance.
     Balance,
     /// Inserts a batch of readings.
     Reading,
-    /// Writes a row of the own session or reads it back, in turn.
+    /// Writes a row of the session and reads it back, in turn.
     Session,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Shares of kinds, as in `token=1,balance=8`.
+/// Relative shares of the kinds, as in `token=1,balance=8`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadMix(pub Vec<(LoadKind, u32)>);
 
@@ -103,7 +103,7 @@
     }
 }
 
-/// How to load a server.
+/// Options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
     pub address: SocketAddr,
@@ -113,12 +113,12 @@
     pub labels: Option<String>,
     pub connections: usize,
     pub mix: LoadMix,
-    /// Requests a second over all connections; `None` sends the next after each answer.
+    /// Requests a second over all connections; `None` sends the next request after each answer.
     pub rate: Option<f64>,
     pub duration: Duration,
     /// Ends the run after this many requests.
     pub count: Option<u64>,
-    /// Rows of a readings batch.
+    /// Rows in a batch of readings.
     pub batch: usize,
     pub meters: u64,
     /// Added to each statement as a `service_ms` comment for fakedb.
@@ -127,8 +127,8 @@
     pub max_age: Option<Duration>,
     /// Address of a primary database for creating tables and for checks.
     pub check_address: Option<SocketAddr>,
-    /// Address of a primary database that gets the same load first, without checks, so that the
-    /// latency added on the way to `address` can be stated as a ratio.
+    /// Address of a primary database that gets the same load first, without checks. The report states
+    /// the latency at `address` as a ratio to it.
     pub baseline_address: Option<SocketAddr>,
     pub seed: u64,
 }
@@ -161,11 +161,11 @@
     }
 }
 
-/// Figures of one kind. Latencies are of successful requests, in microseconds.
+/// Results of one kind. Latencies are those of successful requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KindReport {
     pub count: u64,
-    /// Failures by SQLSTATE; `connection` without one.
+    /// Failures by SQLSTATE; those without one count as `connection`.
     pub errors: BTreeMap<String, u64>,
     pub per_second: f64,
     pub p50_us: u64,
@@ -182,18 +182,18 @@
     pub tokens_missing: u64,
     /// In the table more than once.
     pub tokens_duplicated: u64,
-    /// Answered with an error that says that the request did not run.
+    /// Answered with an error which implies that nothing was committed.
     pub tokens_refused: u64,
     /// Refused, but in the table.
     pub tokens_refused_present: u64,
     pub tokens_unknown: u64,
-    /// Without a known outcome, and in the table.
+    /// Outcome unknown, and in the table.
     pub tokens_unknown_present: u64,
     pub session_reads: u64,
     /// Reads that missed an acknowledged write of their session.
     pub session_violations: u64,
     pub age_reads: u64,
-    /// Reads that were older than accepted.
+    /// Reads whose data was older than accepted.
     pub age_violations: u64,
 }
 
@@ -216,7 +216,7 @@
     /// Connections that could not be opened, by SQLSTATE.
     pub connect_errors: BTreeMap<String, u64>,
     pub kinds: BTreeMap<LoadKind, KindReport>,
-    /// Figures of the same load on the baseline address.
+    /// Results of the same load on the baseline address.
     pub baseline: Option<BTreeMap<LoadKind, KindReport>>,
     /// `None` without a check address.
     pub checks: Option<CheckReport>,
@@ -289,7 +289,7 @@
     }
 }
 
-/// What became of a token.
+/// Outcome of a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TokenOutcome {
     Acknowledged,
@@ -304,15 +304,15 @@
 }
 
 #[derive(Default)]
-struct Figures {
+struct LoadFigures {
     kinds: BTreeMap<LoadKind, KindFigures>,
     connect_errors: BTreeMap<String, u64>,
     tokens: Vec<(String, TokenOutcome)>,
     checks: CheckReport,
 }
 
-impl Figures {
-    fn note(&mut self, kind: LoadKind, latency: Duration, error: Option<String>) {
+impl LoadFigures {
+    fn record(&mut self, kind: LoadKind, latency: Duration, error: Option<String>) {
         let figures = self.kinds.entry(kind).or_insert_with(|| KindFigures {
             latency: new_histogram(),
             count: 0,
@@ -325,13 +325,13 @@
         }
     }
 
-    fn merge(&mut self, other: Figures) {
+    fn merge(&mut self, other: LoadFigures) {
         for (kind, figures) in other.kinds {
             match self.kinds.get_mut(&kind) {
                 None => drop(self.kinds.insert(kind, figures)),
                 Some(own) => {
                     own.count += figures.count;
-                    // Both have the same bounds, so adding cannot fail.
+                    // Both histograms have the same bounds, so adding cannot fail.
                     let _ = own.latency.add(&figures.latency);
                     add_counts(&mut own.errors, figures.errors);
                 }
@@ -360,30 +360,30 @@
 
 /// Acknowledged values of the row that the age check reads, with the time of acknowledgement.
 #[derive(Default)]
-struct MarkLog(Mutex<Vec<(Instant, u64)>>);
+struct AgeLog(Mutex<Vec<(Instant, u64)>>);
 
-impl MarkLog {
+impl AgeLog {
     fn lock(&self) -> MutexGuard<'_, Vec<(Instant, u64)>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the last value that was acknowledged by `time`.
     fn value_at(&self, time: Instant) -> u64 {
-        let marks = self.lock();
-        let count = marks.partition_point(|(acknowledged, _)| *acknowledged <= time);
-        count.checked_sub(1).map_or(0, |at| marks[at].1)
+        let age_log = self.lock();
+        let count = age_log.partition_point(|(acknowledged, _)| *acknowledged <= time);
+        count.checked_sub(1).map_or(0, |at| age_log[at].1)
     }
 }
 
-/// What the threads of a run share.
+/// State that the threads of a run share.
 struct RunState {
     options: LoadOptions,
-    /// Starts the request keys of this run.
-    run_name: String,
+    /// Prefix of the idempotency keys of this run.
+    key_prefix: String,
     sent: AtomicU64,
     stop: AtomicBool,
     start: Instant,
-    marks: MarkLog,
+    age_log: AgeLog,
 }
 
 impl RunState {
@@ -391,8 +391,8 @@
         self.stop.load(Ordering::Relaxed) || self.start.elapsed() >= self.options.duration
     }
 
-    /// Takes one request of the count; false if none is left.
-    fn take_request(&self) -> bool {
+    /// Counts a request to be sent; returns false if the count of the run is reached.
+    fn count_request(&self) -> bool {
         let sent = self.sent.fetch_add(1, Ordering::Relaxed);
         let has_more = self.options.count.is_none_or(|count| sent < count);
         if !has_more {
@@ -424,8 +424,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the tables cannot be created or the checks cannot be read. Failed requests are part of
-/// the report.
+/// Fails if the tables cannot be created or read for the checks. Failed requests are part of the
+/// report.
 ///
 /// ```
 /// use fake::fakedb::{DatabaseGroup, GroupOptions};
@@ -458,23 +458,23 @@
     let micros = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
     let state = Arc::new(RunState {
         options: options.clone(),
-        run_name: format!("run{}-{micros:x}", options.seed),
+        key_prefix: format!("run{}-{micros:x}", options.seed),
         sent: AtomicU64::new(0),
         stop: AtomicBool::new(false),
         start: Instant::now(),
-        marks: MarkLog::default(),
+        age_log: AgeLog::default(),
     });
-    let marking = (options.check_address.is_some() && options.max_age.is_some()).then(|| {
+    let age_thread = (options.check_address.is_some() && options.max_age.is_some()).then(|| {
         let state = state.clone();
-        std::thread::spawn(move || write_marks(&state, setup_address))
+        std::thread::spawn(move || run_age_updates(&state, setup_address))
     });
     let mut workers = Vec::new();
     for number in 0..options.connections {
         let state = state.clone();
         let builder = std::thread::Builder::new().stack_size(512 * 1024);
-        workers.push(builder.spawn(move || work(&state, number as u64))?);
+        workers.push(builder.spawn(move || run_worker(&state, number as u64))?);
     }
-    let mut figures = Figures::default();
+    let mut figures = LoadFigures::default();
     for worker in workers {
         match worker.join() {
             Ok(own) => figures.merge(own),
@@ -483,8 +483,8 @@
     }
     let seconds = state.start.elapsed().as_secs_f64();
     state.stop.store(true, Ordering::Relaxed);
-    if let Some(marking) = marking {
-        drop(marking.join());
+    if let Some(age_thread) = age_thread {
+        drop(age_thread.join());
     }
     let checks = match options.check_address {
         Some(address) => Some(check_tokens(&state, address, &figures)?),
@@ -521,10 +521,11 @@
     ] {
         client.simple_query(sql)?;
     }
-    // The mark starts again at 0, so that an earlier run's higher value does not hide old data.
-    client.simple_query(&format!("DELETE FROM balances WHERE meter = {MARK_METER}"))?;
+    // Restarts the value of the age check at 0, so that a higher value of an earlier run does not
+    // hide old data.
+    client.simple_query(&format!("DELETE FROM balances WHERE meter = {AGE_CHECK_METER}"))?;
     client.simple_query("DELETE FROM sessions")?;
-    let meters: Vec<u64> = (MARK_METER..=options.meters).collect();
+    let meters: Vec<u64> = (AGE_CHECK_METER..=options.meters).collect();
     for chunk in meters.chunks(500) {
         let rows: Vec<String> = chunk.iter().map(|meter| format!("({meter}, 0)")).collect();
         client.simple_query(&format!(
@@ -540,48 +541,49 @@
     Ok(())
 }
 
-/// Changes the row of the age check until the run ends. A failed change ends its connection; its
-/// value may or may not be visible, which the check allows, because it is not in the log.
-fn write_marks(state: &RunState, address: SocketAddr) {
+/// Updates the row of the age check until the run ends. A failed update closes the connection. Its
+/// value may or may not be visible; the check allows both, because the value is not in the log.
+fn run_age_updates(state: &RunState, address: SocketAddr) {
     let mut client: Option<Client> = None;
     let mut mark = 0;
     while !state.is_over() {
         if let Some(open) = &mut client {
             mark += 1;
-            let sql = format!("UPDATE balances SET amount = {mark} WHERE meter = {MARK_METER}");
+            let sql =
+                format!("UPDATE balances SET amount = {mark} WHERE meter = {AGE_CHECK_METER}");
             match open.simple_query(&sql) {
-                Ok(_) => state.marks.lock().push((Instant::now(), mark)),
+                Ok(_) => state.age_log.lock().push((Instant::now(), mark)),
                 Err(_) => client = None,
             }
         } else {
             client = connect(address, &state.options).ok();
         }
-        std::thread::sleep(MARK_INTERVAL);
+        std::thread::sleep(AGE_UPDATE_INTERVAL);
     }
 }
 
-/// One connection's work.
-struct Worker<'a> {
+/// State of one connection.
+struct LoadWorker<'a> {
     state: &'a RunState,
     number: u64,
     random: SeededRandom,
     client: Option<Client>,
-    figures: Figures,
+    figures: LoadFigures,
     sequence: u64,
-    /// Highest mark of the own session that was acknowledged.
+    /// Highest mark of the session that was acknowledged.
     session_mark: u64,
     session_written: bool,
 }
 
-fn work(state: &RunState, number: u64) -> Figures {
-    let mut worker = Worker {
+fn run_worker(state: &RunState, number: u64) -> LoadFigures {
+    let mut worker = LoadWorker {
         state,
         number,
         random: SeededRandom::new(
             state.options.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(number),
         ),
         client: None,
-        figures: Figures::default(),
+        figures: LoadFigures::default(),
         sequence: 0,
         session_mark: 0,
         session_written: false,
@@ -597,24 +599,24 @@
         match interval {
             Some(interval) => {
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                if state.is_over() || !state.take_request() {
+                if state.is_over() || !state.count_request() {
                     break;
                 }
-                worker.request(due);
+                worker.send_request(due);
                 due += interval;
             }
             None => {
-                if !state.take_request() {
+                if !state.count_request() {
                     break;
                 }
-                worker.request(Instant::now());
+                worker.send_request(Instant::now());
             }
         }
     }
     worker.figures
 }
 
-impl Worker<'_> {
+impl LoadWorker<'_> {
     /// Opens a connection, with pauses between attempts, while the run lasts.
     fn connect(&mut self) {
         while self.client.is_none() && !self.state.is_over() {
@@ -642,20 +644,24 @@
     }
 
     /// Sends a request that was due at `due`.
-    fn request(&mut self, due: Instant) {
+    fn send_request(&mut self, due: Instant) {
         let kind = self.pick_kind();
         self.sequence += 1;
-        let key = format!("{}-{}-{}", self.state.run_name, self.number, self.sequence);
+        let key = format!("{}-{}-{}", self.state.key_prefix, self.number, self.sequence);
         let is_session_read = kind == LoadKind::Session && self.session_written;
         let meters = self.state.options.meters;
         let meter = match kind {
             LoadKind::Balance if self.state.options.max_age.is_some() => {
-                // A part of the balance reads checks the age.
-                if self.random.below(4) == 0 { MARK_METER } else { 1 + self.random.below(meters) }
+                // A quarter of the balance reads check the data age.
+                if self.random.below(4) == 0 {
+                    AGE_CHECK_METER
+                } else {
+                    1 + self.random.below(meters)
+                }
             }
             _ => 1 + self.random.below(meters),
         };
-        let mut sql = self.statement(kind, &key, meter, is_session_read);
+        let mut sql = self.build_statement(kind, &key, meter, is_session_read);
         if let Some(service_ms) = self.state.options.service_ms {
             sql = format!("/*service_ms={service_ms}*/ {sql}");
         }
@@ -673,11 +679,11 @@
         if kind == LoadKind::Token {
             self.figures.tokens.push((key, token_outcome(error.as_deref())));
         }
-        self.figures.note(kind, latency, error);
+        self.figures.record(kind, latency, error);
         let Ok(messages) = result else { return };
         let value = first_number(&messages);
         match kind {
-            LoadKind::Balance if meter == MARK_METER => self.check_age(sent, value),
+            LoadKind::Balance if meter == AGE_CHECK_METER => self.check_age(sent, value),
             LoadKind::Session if is_session_read => {
                 self.figures.checks.session_reads += 1;
                 let is_violated = value.unwrap_or_default() < self.session_mark;
@@ -692,7 +698,7 @@
         }
     }
 
-    fn statement(
+    fn build_statement(
         &mut self,
         kind: LoadKind,
         key: &str,
@@ -723,16 +729,16 @@
 
     fn check_age(&mut self, sent: Instant, value: Option<u64>) {
         let Some(max_age) = self.state.options.max_age else { return };
-        let Some(oldest) = sent.checked_sub(max_age) else { return };
+        let Some(accepted_since) = sent.checked_sub(max_age) else { return };
         self.figures.checks.age_reads += 1;
-        let expected = self.state.marks.value_at(oldest);
+        let expected = self.state.age_log.value_at(accepted_since);
         let is_violated = value.unwrap_or_default() < expected;
         self.figures.checks.age_violations += u64::from(is_violated);
     }
 }
 
-/// Class 08 and 57 leave the outcome open, as a lost connection does; every other error says that
-/// nothing was committed.
+/// Errors of the classes 08 and 57 leave the outcome unknown, as a lost connection does. Every other
+/// error means that nothing was committed.
 fn token_outcome(code: Option<&str>) -> TokenOutcome {
     match code {
         None => TokenOutcome::Acknowledged,
@@ -753,7 +759,7 @@
 fn check_tokens(
     state: &RunState,
     address: SocketAddr,
-    figures: &Figures,
+    figures: &LoadFigures,
 ) -> anyhow::Result<CheckReport> {
     let mut client = connect(address, &state.options)
         .with_context(|| format!("failed to connect to {address} for the checks"))?;
@@ -764,7 +770,7 @@
     for message in &messages {
         if let SimpleQueryMessage::Row(row) = message
             && let Some(key) = row.get(0)
-            && key.starts_with(&state.run_name)
+            && key.starts_with(&state.key_prefix)
         {
             *present.entry(key).or_default() += 1;
         }
