--- a/crates/fake/src/bin/fakedb.rs
+++ b/crates/fake/src/bin/fakedb.rs
@@ -14,11 +14,11 @@
         optional --control-port port: u16
         /// Connections per database (default: 55).
         optional --connections count: u32
-        /// Statements executing at once per database (default: 5).
+        /// Statements that a database executes at the same time (default: 5).
         optional --slots count: u32
-        /// Time to open a connection in ms (default: 12).
+        /// Time in ms that opening a connection takes (default: 12).
         optional --open-ms ms: u64
-        /// Time that each statement holds its slot in ms (default: 0).
+        /// Time in ms for which each statement holds its slot (default: 0).
         optional --service-ms ms: u64
         /// Time in ms after which replicas receive a commit (default: 0).
         optional --receive-ms ms: u64
--- a/crates/fake/src/bin/fakeplatform.rs
+++ b/crates/fake/src/bin/fakeplatform.rs
@@ -2,7 +2,7 @@
 
 fn main() -> anyhow::Result<()> {
     let flags = xflags::parse_or_exit! {
-        /// Port for callers (default: chosen by the kernel).
+        /// Port for clients (default: chosen by the kernel).
         optional --port port: u16
     };
     let platform = FakePlatform::start(flags.port.unwrap_or_default())?;
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -1,4 +1,4 @@
-//! The control ports' HTTP/JSON server.
+//! HTTP server of the control ports, with JSON bodies.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -20,8 +20,8 @@
 pub(crate) fn listen(port: u16) -> anyhow::Result<(Arc<Server>, SocketAddr)> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, port))
         .with_context(|| format!("failed to listen on port {port}"))?;
-    // Linux passes the option on to accepted connections. Without it, answers of a few kilobytes
-    // took 44 ms, because the server writes them in two parts.
+    // Accepted connections inherit the option on Linux. Without it, answers of a few kilobytes take
+    // 44 ms, because the server writes them in two parts.
     SockRef::from(&listener).set_tcp_nodelay(true).context("failed to set TCP_NODELAY")?;
     let server = Server::from_listener(listener, None)
         .map_err(|error| anyhow!("failed to serve on port {port}: {error}"))?;
@@ -29,7 +29,7 @@
     Ok((Arc::new(server), address))
 }
 
-/// Builds an answer in JSON.
+/// Builds a JSON response.
 pub(crate) fn json_response(status: u16, value: &Value) -> Response<std::io::Cursor<Vec<u8>>> {
     let response = Response::from_string(value.to_string()).with_status_code(status);
     match Header::from_bytes("Content-Type", "application/json") {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads what a control handler needs of a request.
+/// Reads the parts of a request that a control handler needs.
 pub(crate) fn read_control(request: &mut Request) -> std::io::Result<ControlRequest> {
     let mut body = String::new();
     request.as_reader().read_to_string(&mut body)?;
@@ -56,7 +56,7 @@
         Ok(value) => json_response(200, &value),
         Err(error) => json_response(400, &json!({ "error": format!("{error:#}") })),
     };
-    // A caller that left does not want the answer.
+    // Fails if the client has disconnected.
     drop(request.respond(response));
 }
 
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,13 +1,13 @@
-//! Stand-ins of the systems that cicadawick works with, and tools to load and disturb them.
+//! Fakes of the systems that cicadawick works with, and tools that generate load and inject faults.
 //!
-//! - [`fakedb`]: one database group with PostgreSQL protocol, replication and terms.
+//! - [`fakedb`]: a database group with the PostgreSQL protocol, replication and terms.
 //! - [`fakeplatform`]: the platform's key-value service and list of VMs.
-//! - [`faultproxy`]: a TCP relay that delays, cuts, freezes and drops links.
-//! - [`loadgen`]: callers with mixes of work, latency figures and correctness checks.
+//! - [`faultproxy`]: a TCP relay that delays, discards or holds bytes and drops connections.
+//! - [`loadgen`]: clients that send mixes of requests, measure latency and check the answers.
 //!
 //! Each starts on the loopback interface inside a test or demo process and stops when its handle is
-//! dropped. The binaries of the same names run them as separate processes. All use plain threads:
-//! they hold tens of connections, and a thread per connection keeps the code short.
+//! dropped. The binaries of the same names run them as separate processes. All use a thread per
+//! connection, which keeps the code short and is enough for tens of connections.
 
 pub mod fakedb;
 pub mod fakeplatform;
@@ -19,8 +19,8 @@
 
 pub use setup::{cluster_entry, publish_configuration, wait_until_served};
 
-/// Prints where a tool listens, in one write. A reader that closes the pipe after the first line
-/// must not end the tool, so a failed write is ignored.
+/// Prints the addresses on which a tool listens, in one write. Ignores a failed write, because a
+/// reader that closes the pipe after the first line must not end the tool.
 ///
 /// ```
 /// fake::announce([("control", "127.0.0.1:7000".parse()?)]);
--- a/crates/fake/src/port.rs
+++ b/crates/fake/src/port.rs
@@ -1,12 +1,12 @@
-//! Ports for processes that tests start.
+//! Reserved ports for processes that tests start.
 
 use std::net::SocketAddr;
 
 use socket2::{Domain, Socket, Type};
 
-/// A bound socket that does not listen. It keeps the kernel from giving its port to others, and lets a process
-/// listen there, because both set `SO_REUSEADDR`. A listener that is closed just before the process starts does
-/// not do: processes started at that moment by other threads inherit it, and a connection may take its port.
+/// A bound socket that does not listen. The kernel gives its port to no other socket, but a process can listen
+/// on it, because both set `SO_REUSEADDR`. A listener that is closed just before the process starts is not
+/// enough: processes that other threads start at that moment inherit it, and a connection may take its port.
 ///
 /// ```
 /// let reservation = fake::port::PortReservation::new()?;
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the kernel does not tell it.
+    /// Fails if the kernel does not return the address.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         let address = self.0.local_addr()?;
         address.as_socket().ok_or_else(|| std::io::Error::other("not an IP address"))
--- a/crates/fake/src/setup.rs
+++ b/crates/fake/src/setup.rs
@@ -1,4 +1,4 @@
-//! First configuration of a fleet in front of a stand-in database group.
+//! Initial configuration of a fleet in front of a fake database group.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 use crate::fakedb::{DatabaseGroup, GroupOptions};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Returns a cluster entry of the configuration with all databases of a group.
 ///
@@ -38,11 +38,11 @@
     json!({ "name": cluster, "databases": databases.collect::<Vec<Value>>() })
 }
 
-/// Writes a text as revision 1 of the configuration, and a token key to a platform that holds neither.
+/// Writes `text` as revision 1 of the configuration, and a token key, to a platform that has neither.
 ///
 /// # Errors
 ///
-/// Fails if the platform cannot be reached or already holds one of them.
+/// Fails if the platform cannot be reached or already has one of them.
 pub fn publish_configuration(platform: SocketAddr, text: &str) -> anyhow::Result<()> {
     let envelope = ChangeEnvelope {
         revision: 1,
@@ -56,7 +56,7 @@
     let values =
         [("cicadawick/config", envelope.to_bytes()), ("cicadawick/token-keys", keys.into_bytes())];
     for (key, bytes) in values {
-        ensure!(client.put(key, &bytes, 0)?, "the platform holds {key} already");
+        ensure!(client.put(key, &bytes, 0)?, "the platform already has a value for {key}");
     }
     Ok(())
 }
@@ -65,13 +65,13 @@
 ///
 /// # Errors
 ///
-/// Fails with the proxy's last error if it serves none within `limit`.
-pub fn wait_until_served(caller: SocketAddr, cluster: &str, limit: Duration) -> anyhow::Result<()> {
+/// Fails with the last error of the proxy if it serves no write within `limit`.
+pub fn wait_until_served(proxy: SocketAddr, cluster: &str, limit: Duration) -> anyhow::Result<()> {
     let end = Instant::now() + limit;
     let mut config = postgres::Config::new();
     config
-        .host(&caller.ip().to_string())
-        .port(caller.port())
+        .host(&proxy.ip().to_string())
+        .port(proxy.port())
         .user("setup")
         .dbname(cluster)
         .connect_timeout(Duration::from_secs(1));
@@ -82,9 +82,9 @@
         match attempt {
             Ok(()) => return Ok(()),
             Err(error) if Instant::now() >= end => {
-                return Err(error).context("the proxy serves no write");
+                return Err(error).context("the proxy did not serve a write in time");
             }
-            Err(_) => std::thread::sleep(RETRY_PAUSE),
+            Err(_) => std::thread::sleep(RETRY_BACKOFF),
         }
     }
 }
