--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -8,12 +8,12 @@
 xflags::xflags! {
     /// Experiments in virtual time and capacity slopes.
     cmd bench {
-        /// Service of the ranks under overload.
+        /// Service of each rank under overload.
         cmd rank {
             /// Seed of arrivals and service times; 1 if absent.
             optional --seed seed: u64
         }
-        /// One database shared by nine proxies in three ways.
+        /// Three designs in which nine proxies share one database.
         cmd share {
             /// Seed of arrivals and service times; 1 if absent.
             optional --seed seed: u64
@@ -23,13 +23,13 @@
             /// Decisions for each point; 1,000,000 if absent.
             optional --turns turns: usize
         }
-        /// Messages, bytes, allocations and processor time of one node's control work.
+        /// Messages, bytes, allocations and processor time that one node needs for control.
         cmd control {}
-        /// Latency, throughput and memory of one real daemon against the database alone.
+        /// Latency, throughput and memory of a daemon, compared with the database alone.
         cmd overhead {
-            /// Length of each load; 1 if absent.
+            /// Length of each load in seconds; 1 if absent.
             optional --seconds seconds: f64
-            /// Skip the idle callers.
+            /// Skip the measurement of idle connections.
             optional --no-idle
         }
     }
--- a/crates/bench/src/meter.rs
+++ b/crates/bench/src/meter.rs
@@ -12,28 +12,28 @@
     static HELD_BYTES: Cell<i64> = const { Cell::new(0) };
 }
 
-/// The system's allocator with a count of allocations and of held bytes for each thread. A binary or
-/// test makes it its global allocator.
+/// The system allocator with counters of allocations and held bytes for each thread. Binaries and
+/// tests that need the counters install it as the global allocator.
 pub struct CountingAllocator;
 
 impl CountingAllocator {
-    fn note(bytes: i64) {
+    fn record(bytes: i64) {
         // Fails only while a thread ends.
         let _ = ALLOCATIONS.try_with(|count| count.set(count.get() + u64::from(bytes > 0)));
         let _ = HELD_BYTES.try_with(|held| held.set(held.get() + bytes));
     }
 }
 
-// SAFETY: every call goes to the system's allocator unchanged; counting does not allocate.
+// SAFETY: every call is forwarded unchanged to the system allocator; counting does not allocate.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        CountingAllocator::note(layout.size() as i64);
-        // SAFETY: the caller keeps the contract of `GlobalAlloc::alloc`.
+        CountingAllocator::record(layout.size() as i64);
+        // SAFETY: the caller upholds the contract of `GlobalAlloc::alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, block: *mut u8, layout: Layout) {
-        CountingAllocator::note(-(layout.size() as i64));
+        CountingAllocator::record(-(layout.size() as i64));
         // SAFETY: `block` came from `System.alloc` with this layout.
         unsafe { System.dealloc(block, layout) }
     }
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,8 +1,8 @@
-//! Cost of the way through a proxy: latency, throughput and processor time against the same load on
-//! the database itself, and memory per idle caller.
+//! Overhead of a proxy: latency, throughput and processor time compared with the same load on the
+//! database itself, and memory per idle client connection.
 //!
-//! The stand-in databases take no time for a statement, so the figures show the proxy's own cost. A
-//! closed loop of callers measures both sides in the same run, one after the other.
+//! The fake databases have no service time, so the figures show the cost of the proxy. A closed loop
+//! of clients measures the database and the proxy in the same run, one after the other.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,28 +12,28 @@
 use fake::fakedb::GroupOptions;
 use fake::loadgen::{KindReport, LoadKind, LoadMix, LoadOptions};
 
-use crate::surroundings::{CLUSTER, ProxySurroundings};
+use crate::proxy_setup::{CLUSTER_NAME, ProxySetup};
 
-/// Connections of the closed loops.
-const CONNECTIONS: [usize; 4] = [1, 8, 64, 256];
+/// Numbers of connections of the closed loops.
+const CONNECTION_COUNTS: [usize; 4] = [1, 8, 64, 256];
 
-/// Numbers of idle callers at which the resident size is read.
-const IDLE_CALLERS: [usize; 4] = [100, 1_000, 4_000, 8_500];
+/// Numbers of idle connections at which the resident size is read.
+const IDLE_CONNECTION_COUNTS: [usize; 4] = [100, 1_000, 4_000, 8_500];
 
-/// Accepted addition to the median latency of one connection on the loopback interface.
-const ADDED_AIM_US: f64 = 500.0;
+/// Target for the median latency added to one connection on the loopback interface.
+const ADDED_LATENCY_TARGET_US: f64 = 500.0;
 
-/// Target for all callers of a node.
-const IDLE_TARGET_BYTES: u64 = 500_000_000;
+/// Target for the resident size of a daemon with all client connections of a node.
+const RESIDENT_TARGET_BYTES: u64 = 500_000_000;
 
-/// Open files beyond one per idle caller.
-const SPARE_FILES: usize = 300;
+/// Open files reserved for everything but idle connections, which need one each.
+const RESERVED_FILES: usize = 300;
 
-/// Time for the daemon to settle before its resident size is read.
+/// Pause before the resident size is read, in which the daemon becomes idle.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// A kind of work: name, request kind, labels.
-const WORK: [(&str, LoadKind, &str); 4] = [
+/// Kinds of requests: name, load kind, labels.
+const REQUEST_KINDS: [(&str, LoadKind, &str); 4] = [
     ("read", LoadKind::Balance, "kind=plain"),
     ("write", LoadKind::Reading, "kind=plain"),
     ("durable write", LoadKind::Reading, "kind=durable"),
@@ -44,22 +44,22 @@
 ///
 /// # Errors
 ///
-/// Fails if the stand-ins or the daemon do not start.
+/// Fails if the fakes or the daemon do not start.
 pub fn run(seconds: f64, idle: bool) -> anyhow::Result<()> {
-    let mut options = GroupOptions::new(CLUSTER, 3);
+    let mut options = GroupOptions::new(CLUSTER_NAME, 3);
     options.slots = 16;
     options.connections = 1_000;
-    let surroundings = ProxySurroundings::start(&options)?;
-    measure_loads(&surroundings, seconds)?;
-    drop(surroundings);
+    let setup = ProxySetup::start(&options)?;
+    measure_loads(&setup, seconds)?;
+    drop(setup);
     if idle {
-        // A new process, whose allocator holds nothing from the loads.
-        measure_idle(&ProxySurroundings::start(&options)?)?;
+        // Starts a new process, so that memory retained after the loads does not count.
+        measure_idle(&ProxySetup::start(&options)?)?;
     }
     Ok(())
 }
 
-fn measure_loads(surroundings: &ProxySurroundings, seconds: f64) -> anyhow::Result<()> {
+fn measure_loads(setup: &ProxySetup, seconds: f64) -> anyhow::Result<()> {
     println!(
         "{:<14} {:>5} {:>10} {:>10} {:>6} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9} {:>6}",
         "work",
@@ -75,12 +75,12 @@
         "loop us",
         "errors"
     );
-    let primary = surroundings.group.primary().context("the group has no primary")?;
-    let direct_address = surroundings.group.address(&primary)?;
-    for (name, kind, labels) in WORK {
-        for connections in CONNECTIONS {
+    let primary = setup.group.primary().context("the group has no primary")?;
+    let direct_address = setup.group.address(&primary)?;
+    for (name, kind, labels) in REQUEST_KINDS {
+        for connections in CONNECTION_COUNTS {
             let load = |address: SocketAddr| -> anyhow::Result<KindReport> {
-                let mut options = LoadOptions::new(address, CLUSTER);
+                let mut options = LoadOptions::new(address, CLUSTER_NAME);
                 options.connections = connections;
                 options.labels = Some(labels.to_string());
                 options.mix = LoadMix(vec![(kind, 1)]);
@@ -92,9 +92,9 @@
                 report.kinds.get(&kind).cloned().context("the load sent nothing")
             };
             let direct = load(direct_address)?;
-            let before = surroundings.loop_time()?;
-            let proxy = load(surroundings.caller_address)?;
-            let loop_time = surroundings.loop_time()?.saturating_sub(before);
+            let before = setup.loop_time()?;
+            let proxy = load(setup.proxy_address)?;
+            let loop_time = setup.loop_time()?.saturating_sub(before);
             let added = proxy.p50_us as f64 - direct.p50_us as f64;
             println!(
                 "{:<14} {:>5} {:>10.0} {:>10.0} {:>6.2} {:>8} {:>8} {:>8} {:>8} {:>9.0} {:>9.1} \
@@ -111,8 +111,8 @@
                 added,
                 loop_time.as_secs_f64() * 1e6 / proxy.count.max(1) as f64,
                 proxy.errors.values().sum::<u64>(),
-                if connections == 1 && added > ADDED_AIM_US {
-                    "  above the aim of 500 us"
+                if connections == 1 && added > ADDED_LATENCY_TARGET_US {
+                    "  above the target of 500 us"
                 } else {
                     ""
                 }
@@ -122,50 +122,54 @@
     Ok(())
 }
 
-/// Opens idle callers and prints the resident size of the daemon.
-fn measure_idle(surroundings: &ProxySurroundings) -> anyhow::Result<()> {
-    let room = open_file_limit()?.saturating_sub(SPARE_FILES);
-    let mut callers = Vec::new();
-    let mut points = vec![(0.0, surroundings.resident_bytes()? as f64)];
+/// Opens idle connections and prints the resident size of the daemon.
+fn measure_idle(setup: &ProxySetup) -> anyhow::Result<()> {
+    let available = open_file_limit()?.saturating_sub(RESERVED_FILES);
+    let mut connections = Vec::new();
+    let mut points = vec![(0.0, setup.resident_bytes()? as f64)];
     println!("\n{:>12} {:>14} {:>16}", "idle callers", "resident bytes", "bytes per caller");
-    for count in IDLE_CALLERS {
-        if count > room {
-            println!("{count:>12} not run: the limit of open files leaves room for {room}");
+    for count in IDLE_CONNECTION_COUNTS {
+        if count > available {
+            println!("{count:>12} not run: the limit of open files leaves room for {available}");
             continue;
         }
-        while callers.len() < count {
-            let caller = open_caller(surroundings.caller_address, CLUSTER);
-            callers.push(caller.with_context(|| format!("failed at {} callers", callers.len()))?);
+        while connections.len() < count {
+            let connection = open_connection(setup.proxy_address, CLUSTER_NAME);
+            connections.push(
+                connection.with_context(|| {
+                    format!("failed with {} open connections", connections.len())
+                })?,
+            );
         }
-        print_resident(surroundings, &mut points, count)?;
+        print_resident(setup, &mut points, count)?;
     }
     println!("slope {:.0} bytes per idle caller", slope(&points));
-    for caller in &mut callers {
-        query(caller, "SELECT id FROM ready")?;
+    for connection in &mut connections {
+        query(connection, "SELECT id FROM ready")?;
     }
     println!("after one read by each caller:");
-    print_resident(surroundings, &mut points, callers.len())?;
-    for caller in &mut callers {
-        query(caller, "INSERT INTO ready (id) VALUES (1)")?;
+    print_resident(setup, &mut points, connections.len())?;
+    for connection in &mut connections {
+        query(connection, "INSERT INTO ready (id) VALUES (1)")?;
     }
     println!("after one write by each caller:");
-    print_resident(surroundings, &mut points, callers.len())?;
+    print_resident(setup, &mut points, connections.len())?;
     Ok(())
 }
 
 fn print_resident(
-    surroundings: &ProxySurroundings,
+    setup: &ProxySetup,
     points: &mut Vec<(f64, f64)>,
     count: usize,
 ) -> anyhow::Result<()> {
     std::thread::sleep(SETTLE_TIME);
-    let resident = surroundings.resident_bytes()?;
+    let resident = setup.resident_bytes()?;
     let base = points[0].1;
     points.push((count as f64, resident as f64));
     println!(
         "{count:>12} {resident:>14} {:>16.0}{}",
         (resident as f64 - base) / count.max(1) as f64,
-        if resident > IDLE_TARGET_BYTES { "  above the target of 0.5 GB" } else { "" }
+        if resident > RESIDENT_TARGET_BYTES { "  above the target of 0.5 GB" } else { "" }
     );
     Ok(())
 }
@@ -184,15 +188,17 @@
 fn open_file_limit() -> anyhow::Result<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits")?;
     let line = limits.lines().find(|line| line.starts_with("Max open files"));
-    let soft = line.and_then(|line| line.split_whitespace().nth(3)).context("no limit shown")?;
+    let soft = line
+        .and_then(|line| line.split_whitespace().nth(3))
+        .context("/proc/self/limits shows no limit of open files")?;
     Ok(soft.parse().unwrap_or(usize::MAX))
 }
 
 /// Connects with a bare start-up message and reads up to the first `ReadyForQuery`.
-pub(crate) fn open_caller(address: SocketAddr, catalog: &str) -> anyhow::Result<TcpStream> {
+pub(crate) fn open_connection(address: SocketAddr, database: &str) -> anyhow::Result<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(5))?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
-    let parameters = format!("user\0bench\0database\0{catalog}\0\0");
+    let parameters = format!("user\0bench\0database\0{database}\0\0");
     // Protocol version 3.0.
     let mut packet = Vec::from((8 + parameters.len() as u32).to_be_bytes());
     packet.extend_from_slice(&[0, 3, 0, 0]);
--- a/crates/bench/src/surroundings.rs
+++ b/crates/bench/src/proxy_setup.rs
@@ -1,4 +1,4 @@
-//! A database group, a platform and one real `cicadawickd` process on the loopback interface.
+//! A fake database group, a fake platform and a `cicadawickd` process on the loopback interface.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -9,24 +9,24 @@
 use fake::fakedb::{DatabaseGroup, GroupOptions};
 use fake::fakeplatform::FakePlatform;
 
-/// Name of the cluster, and the database name that callers connect to.
-pub const CLUSTER: &str = "billing";
+/// Name of the cluster, and the database name that clients connect to.
+pub const CLUSTER_NAME: &str = "billing";
 
-/// Longest time for a daemon to start and to find the primary.
-const START_LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for the daemon to start and for it to serve a write.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A daemon with what it needs; drop ends all of it.
-pub struct ProxySurroundings {
+/// A daemon with its databases and platform; dropping it stops all of them.
+pub struct ProxySetup {
     pub group: DatabaseGroup,
-    pub caller_address: SocketAddr,
+    pub proxy_address: SocketAddr,
     _platform: FakePlatform,
-    child: Child,
+    daemon: Child,
     files: [PathBuf; 2],
 }
 
-impl ProxySurroundings {
+impl ProxySetup {
     /// Starts a group with `options`, a platform and the `cicadawickd` beside this executable, and
-    /// waits until the proxy serves a write. Work labelled `kind=durable` is durable.
+    /// waits until the proxy serves a write. Requests labelled `kind=durable` are durable.
     ///
     /// # Errors
     ///
@@ -53,56 +53,57 @@
         });
         std::fs::write(&settings_file, settings.to_string())
             .with_context(|| format!("failed to write {}", settings_file.display()))?;
-        let child = Command::new(&binary)
+        let daemon = Command::new(&binary)
             .arg("--settings")
             .arg(&settings_file)
             .arg("--ready-file")
             .arg(&ready_file)
             .spawn()
             .with_context(|| format!("failed to start {}", binary.display()))?;
-        let mut surroundings = ProxySurroundings {
+        let mut setup = ProxySetup {
             group,
-            caller_address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
+            proxy_address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             _platform: platform,
-            child,
+            daemon,
             files: [settings_file, ready_file],
         };
-        surroundings.caller_address = surroundings.wait_for_address()?;
-        fake::wait_until_served(surroundings.caller_address, CLUSTER, START_LIMIT)?;
-        Ok(surroundings)
+        setup.proxy_address = setup.wait_for_address()?;
+        fake::wait_until_served(setup.proxy_address, CLUSTER_NAME, START_TIMEOUT)?;
+        Ok(setup)
     }
 
     /// Returns the resident size of the daemon in bytes.
     ///
     /// # Errors
     ///
-    /// This and the next call fail if `/proc` does not show the process.
+    /// This and the next method fail if `/proc` does not show the process.
     pub fn resident_bytes(&self) -> anyhow::Result<u64> {
         let status = self.proc_file("status")?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
-        Ok(kilobytes.context("no VmRSS")?.parse::<u64>()? * 1_024)
+        Ok(kilobytes.context("the status of the daemon shows no VmRSS")?.parse::<u64>()? * 1_024)
     }
 
     /// Returns the processor time of the daemon's event loop.
     ///
     /// # Errors
     ///
-    /// See [`ProxySurroundings::resident_bytes`].
+    /// See [`ProxySetup::resident_bytes`].
     pub fn loop_time(&self) -> anyhow::Result<Duration> {
-        // Covers the main thread only, which runs the event loop, in nanoseconds.
+        // In nanoseconds. Covers only the main thread, which runs the event loop.
         let schedstat = self.proc_file("schedstat")?;
-        let nanos = schedstat.split_whitespace().next().context("an empty schedstat")?;
+        let nanos =
+            schedstat.split_whitespace().next().context("the schedstat of the daemon is empty")?;
         Ok(Duration::from_nanos(nanos.parse()?))
     }
 
     fn proc_file(&self, name: &str) -> anyhow::Result<String> {
-        let path = format!("/proc/{}/{name}", self.child.id());
+        let path = format!("/proc/{}/{name}", self.daemon.id());
         std::fs::read_to_string(&path).with_context(|| format!("failed to read {path}"))
     }
 
     fn wait_for_address(&self) -> anyhow::Result<SocketAddr> {
-        let end = Instant::now() + START_LIMIT;
+        let end = Instant::now() + START_TIMEOUT;
         while Instant::now() < end {
             let line = std::fs::read_to_string(&self.files[1]).unwrap_or_default();
             let mut fields = line.split_whitespace();
@@ -111,15 +112,15 @@
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        bail!("the daemon was not ready within {START_LIMIT:?}");
+        bail!("the daemon was not ready within {START_TIMEOUT:?}");
     }
 }
 
-impl Drop for ProxySurroundings {
+impl Drop for ProxySetup {
     fn drop(&mut self) {
-        // Fails only if the process has ended by itself.
-        let _ = self.child.kill();
-        let _ = self.child.wait();
+        // Fails only if the process has already exited.
+        let _ = self.daemon.kill();
+        let _ = self.daemon.wait();
         for file in &self.files {
             let _ = std::fs::remove_file(file);
         }
@@ -136,7 +137,7 @@
     platform: SocketAddr,
 ) -> anyhow::Result<()> {
     let fleet = serde_json::json!({
-        "clusters": [fake::cluster_entry(CLUSTER, "dc1", group, options)],
+        "clusters": [fake::cluster_entry(CLUSTER_NAME, "dc1", group, options)],
         "selectors": [
             { "name": "durable", "matches": "kind=durable", "rank": "urgent", "durable": true },
             { "name": "other", "matches": "", "rank": "interactive" },
--- a/crates/bench/src/wire.rs
+++ b/crates/bench/src/wire.rs
@@ -1,4 +1,4 @@
-//! Sizes of control messages as they are on the wire, measured once on the loopback interface.
+//! Sizes of control messages on the wire, measured on the loopback interface.
 
 use std::cell::{Cell, RefCell};
 use std::io::{Read, Write};
@@ -19,14 +19,14 @@
 /// Header of IPv4 and TCP without options.
 pub const PACKET_BYTES: u64 = 40;
 
-/// Calls of one measurement.
-const CALLS: u64 = 20;
+/// Number of calls in one measurement.
+const CALL_COUNT: u64 = 20;
 
-/// Time for one call.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time in which what follows a call arrives.
-const QUIET_TIME: Duration = Duration::from_millis(20);
+/// Time after an answer in which trailing messages, such as the finish of the call, arrive.
+const TRAILING_TIME: Duration = Duration::from_millis(20);
 
 /// Bytes of one exchange beyond the encoded parameters and results, packet headers included.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 }
 
 impl WireSizes {
-    /// Measures a heartbeat between two ends of crate `rpc` and a report of the stand-in database.
+    /// Measures a heartbeat between two ends of crate `rpc` and a report of the fake database.
     ///
     /// # Errors
     ///
@@ -75,17 +75,17 @@
     }
 }
 
-/// Bytes and parts of one direction of a relay. Both ends write a message with one call, and the
-/// relay reads faster than a call takes, so a part stands for a packet.
+/// Bytes and packets of one direction of a relay. Both ends write a message with one system call, and
+/// the relay reads it before the next one is written, so each read counts as one packet.
 #[derive(Default)]
 struct RelayCount {
     bytes: AtomicU64,
-    parts: AtomicU64,
+    packets: AtomicU64,
 }
 
 impl RelayCount {
     fn wire_bytes(&self) -> u64 {
-        self.bytes.load(Ordering::SeqCst) + PACKET_BYTES * self.parts.load(Ordering::SeqCst)
+        self.bytes.load(Ordering::SeqCst) + PACKET_BYTES * self.packets.load(Ordering::SeqCst)
     }
 
     /// Copies until the stream ends.
@@ -93,7 +93,7 @@
         let mut buffer = vec![0; 64 * 1024];
         while let Ok(count @ 1..) = from.read(&mut buffer) {
             self.bytes.fetch_add(count as u64, Ordering::SeqCst);
-            self.parts.fetch_add(1, Ordering::SeqCst);
+            self.packets.fetch_add(1, Ordering::SeqCst);
             if to.write_all(&buffer[..count]).is_err() {
                 break;
             }
@@ -121,7 +121,7 @@
         let answers = shared.clone();
         let back = std::thread::spawn(move || answers[1].relay(from, to));
         shared[0].relay(caller, callee);
-        // A panic of the relay would show as a call without an answer.
+        // A panic of the relay would appear as a call without an answer.
         let _ = back.join();
         Ok(())
     });
@@ -133,15 +133,15 @@
     server.set_nonblocking(true)?;
     let mut accepted = false;
     let before = Rc::new(Cell::new((0, 0)));
-    for call in 0..=CALLS {
+    for call in 0..=CALL_COUNT {
         let done = Rc::new(RefCell::new(None));
         let slot = done.clone();
-        clients.heartbeat(&mut stakker, relay_address, heartbeat, CALL_LIMIT, move |answer| {
+        clients.heartbeat(&mut stakker, relay_address, heartbeat, CALL_TIMEOUT, move |answer| {
             *slot.borrow_mut() = Some(answer);
         });
-        let mut quiet_at = None;
-        let end = Instant::now() + CALL_LIMIT;
-        while quiet_at.is_none_or(|at| Instant::now() < at) {
+        let mut trailing_until = None;
+        let end = Instant::now() + CALL_TIMEOUT;
+        while trailing_until.is_none_or(|at| Instant::now() < at) {
             stakker.run(Instant::now(), false);
             poll.poll(Duration::from_millis(1))?;
             if !accepted && let Ok((stream, _)) = server.accept() {
@@ -150,15 +150,15 @@
                 let stream = stakker_mio::mio::net::TcpStream::from_std(stream);
                 let requests = Fwd::new(|request| {
                     if let PeerRequest::Heartbeat { heartbeat, reply } = request {
-                        // The caller waits for it.
+                        // Cannot fail, because the call waits for the reply.
                         let _ = reply.send(heartbeat);
                     }
                 });
                 let stream = RpcStream::new(&poll, stream)?;
                 serve_peer(&pool, stream, requests, CallIds::default());
             }
-            if done.borrow().is_some() && quiet_at.is_none() {
-                quiet_at = Some(Instant::now() + QUIET_TIME);
+            if done.borrow().is_some() && trailing_until.is_none() {
+                trailing_until = Some(Instant::now() + TRAILING_TIME);
             }
             if Instant::now() > end {
                 bail!("a heartbeat on the loopback interface was not answered");
@@ -173,21 +173,21 @@
         }
     }
     let (up, down) = before.get();
-    let per_call = |count: &RelayCount, before| (count.wire_bytes() - before) / CALLS;
+    let per_call = |count: &RelayCount, before| (count.wire_bytes() - before) / CALL_COUNT;
     let sizes = (per_call(&counts[0], up), per_call(&counts[1], down));
     drop(clients);
     drop(pool);
     drop(stakker);
     drop(poll);
     drop(server);
-    // The relay ends with the loop's sockets; it needs no wait.
+    // The relay ends when the sockets of the event loop close, so it is not joined.
     drop(relaying);
     Ok(sizes)
 }
 
 /// Returns the wire bytes of a report request and its answer.
 fn measure_report(address: SocketAddr) -> anyhow::Result<(u64, u64)> {
-    let mut stream = crate::overhead::open_caller(address, "postgres")?;
+    let mut stream = crate::overhead::open_connection(address, "postgres")?;
     let packet = crate::overhead::query_packet("SELECT * FROM cicadawick_report()");
     stream.write_all(&packet)?;
     let answer = crate::overhead::read_until_ready(&mut stream)?;
