--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -1,9 +1,9 @@
-//! Control work of one node against small stand-ins in virtual time.
+//! Control traffic and processor time of one node against simple fakes, in virtual time.
 //!
-//! The node is the real state machine. Members, databases and the platform are answered by the bench
-//! after 1 ms. Messages have the size of their real encoding plus the envelope and packet headers
-//! that [`crate::wire`] measured. Processor time is that of the node's decisions and of encoding its
-//! heartbeats; system calls are not part of it.
+//! The node is the real state machine. The benchmark answers for the other members, the databases and
+//! the platform after 1 ms. The size of a message is that of its real encoding plus the envelope and
+//! packet headers that [`crate::wire`] measures. Processor time covers the node's decisions and the
+//! encoding of its heartbeats, but no system calls.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -21,41 +21,41 @@
 use crate::meter;
 use crate::wire::WireSizes;
 
-/// Numbers of members and of databases, in the order in which they belong together.
-pub const SIZES: [(usize, usize); 4] = [(9, 9), (94, 90), (330, 340), (660, 680)];
+/// Fleet sizes: number of members and number of databases.
+pub const FLEET_SIZES: [(usize, usize); 4] = [(9, 9), (94, 90), (330, 340), (660, 680)];
 
-/// Data centres of the target.
-const DATA_CENTRES: usize = 7;
+/// Number of data centres at the target size.
+const DATA_CENTRE_COUNT: usize = 7;
 
-/// Databases of a cluster.
-const CLUSTER_DATABASES: usize = 3;
+/// Number of databases in a cluster.
+const DATABASES_PER_CLUSTER: usize = 3;
 
-/// Selectors of the target's configuration.
-const SELECTORS: usize = 100;
+/// Number of selectors in the configuration.
+const SELECTOR_COUNT: usize = 100;
 
-/// One way between two processes.
-const LINK: Micros = Micros::from_millis(1);
+/// Network delay between two processes, one way.
+const NETWORK_DELAY: Micros = Micros::from_millis(1);
 
-/// Time before counting starts.
+/// Virtual time that passes before counting starts.
 const WARM_UP: Micros = Micros::from_secs(30);
 
-/// Contacts in the own data centre that send heartbeats to a node.
-const OBSERVERS: usize = 4;
+/// Number of members in the same data centre that send heartbeats to a node.
+const OBSERVER_COUNT: usize = 4;
 
-/// Observers of which the node is one of the next two members of the ring.
-const NEAR_OBSERVERS: usize = 2;
+/// Number of observers that have the node among the next two members of the ring.
+const NEAR_OBSERVER_COUNT: usize = 2;
 
-/// The document of the operators' configuration.
-const CONFIG: &str = "config";
+/// Name of the document with the operators' configuration.
+const CONFIG_DOCUMENT: &str = "config";
 
-/// Which node of the fleet is measured.
+/// Role of the node that is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlRole {
     /// Owns no database and is no watcher.
     Entry,
-    /// Owns one database and is no watcher. On average a node owns 1.03 of the target's.
+    /// Owns one database and is no watcher. At the target size a node owns 1.03 databases on average.
     Owner,
-    /// Watcher of its data centre, with at most one database.
+    /// Watcher of its data centre; owns at most one database.
     Watcher,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Messages and bytes of one kind of control work.
+/// Messages and bytes of one kind of control message.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ControlFlow {
     pub messages: u64,
@@ -77,30 +77,30 @@
     pub received: u64,
 }
 
-/// What one run counted.
+/// Counts of one run.
 #[derive(Clone, Debug, Default)]
 pub struct ControlCount {
     pub seconds: f64,
-    pub owned: usize,
+    pub owned_databases: usize,
     pub flows: BTreeMap<&'static str, ControlFlow>,
     pub allocations: u64,
-    pub processor: Duration,
-    /// Bytes that the node holds.
-    pub held: i64,
+    pub processor_time: Duration,
+    /// Heap bytes that the node holds.
+    pub held_bytes: i64,
 }
 
 impl ControlCount {
-    /// Returns bytes sent a second, over all kinds of work or one.
+    /// Returns bytes sent a second, of one kind of message or of all.
     pub fn sent_per_second(&self, kind: Option<&str>) -> f64 {
         self.sum(kind, |flow| flow.sent) as f64 / self.seconds
     }
 
-    /// Returns bytes received a second, over all kinds of work or one.
+    /// Returns bytes received a second, of one kind of message or of all.
     pub fn received_per_second(&self, kind: Option<&str>) -> f64 {
         self.sum(kind, |flow| flow.received) as f64 / self.seconds
     }
 
-    /// Returns messages a second in both directions, over all kinds of work or one.
+    /// Returns messages a second in both directions, of one kind or of all.
     pub fn messages_per_second(&self, kind: Option<&str>) -> f64 {
         self.sum(kind, |flow| flow.messages) as f64 / self.seconds
     }
@@ -111,14 +111,14 @@
     }
 }
 
-/// Work during a run beside what always happens.
+/// Events of a run in addition to heartbeats and report rounds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ControlLoad {
-    /// Time between two configuration changes.
-    pub config_every: Option<Micros>,
-    /// Time between two member changes.
-    pub member_every: Option<Micros>,
-    /// The primary of an owned cluster fails when counting starts.
+    /// Interval between configuration changes.
+    pub config_interval: Option<Micros>,
+    /// Interval between member restarts.
+    pub restart_interval: Option<Micros>,
+    /// The primary of each cluster fails when counting starts.
     pub promotion: bool,
 }
 
@@ -126,7 +126,7 @@
     let address = |port: u16| ([10, 0, (index / 250) as u8, (index % 250) as u8 + 1], port).into();
     MemberInfo {
         name: format!("vm-{index:04}").into(),
-        data_centre: format!("north-{}", index % DATA_CENTRES).into(),
+        data_centre: format!("north-{}", index % DATA_CENTRE_COUNT).into(),
         peer_address: address(7_400),
         admin_address: address(7_401),
         // Microseconds since 1970, as the daemon uses.
@@ -136,24 +136,27 @@
 }
 
 fn database_name(index: usize) -> String {
-    let letter = ["a", "b", "c"][index % CLUSTER_DATABASES];
-    format!("billing-{}-{letter}", index / CLUSTER_DATABASES)
+    let letter = ["a", "b", "c"][index % DATABASES_PER_CLUSTER];
+    format!("billing-{}-{letter}", index / DATABASES_PER_CLUSTER)
 }
 
-fn database_place(index: usize) -> String {
-    format!("north-{}", (index / CLUSTER_DATABASES + index % CLUSTER_DATABASES) % DATA_CENTRES)
+fn database_data_centre(index: usize) -> String {
+    format!(
+        "north-{}",
+        (index / DATABASES_PER_CLUSTER + index % DATABASES_PER_CLUSTER) % DATA_CENTRE_COUNT
+    )
 }
 
-/// Returns the envelope of a configuration with this many databases in clusters of three.
+/// Returns the envelope of a configuration with `databases` databases in clusters of three.
 pub fn fleet_document(databases: usize, revision: u64) -> Vec<u8> {
-    let clusters: Vec<serde_json::Value> = (0..databases.div_ceil(CLUSTER_DATABASES))
+    let clusters: Vec<serde_json::Value> = (0..databases.div_ceil(DATABASES_PER_CLUSTER))
         .map(|cluster| {
-            let databases: Vec<serde_json::Value> = (0..CLUSTER_DATABASES)
+            let databases: Vec<serde_json::Value> = (0..DATABASES_PER_CLUSTER)
                 .map(|replica| {
-                    let index = cluster * CLUSTER_DATABASES + replica;
+                    let index = cluster * DATABASES_PER_CLUSTER + replica;
                     serde_json::json!({
                         "name": database_name(index),
-                        "data_centre": database_place(index),
+                        "data_centre": database_data_centre(index),
                         "address": format!("10.1.{}.{}:5432", index / 250, index % 250 + 1),
                         "labels": { "disk": "fast" }, "slots": 5, "connections": 55,
                     })
@@ -162,7 +165,7 @@
             serde_json::json!({ "name": format!("billing-{cluster}"), "databases": databases })
         })
         .collect();
-    let selectors: Vec<serde_json::Value> = (0..SELECTORS)
+    let selectors: Vec<serde_json::Value> = (0..SELECTOR_COUNT)
         .map(|index| {
             serde_json::json!({
                 "name": format!("selector-{index}"),
@@ -172,7 +175,7 @@
             })
         })
         .collect();
-    // Operators write the text over several lines.
+    // Pretty-printed, because operators write the configuration over several lines.
     let text = serde_json::json!({ "clusters": clusters, "selectors": selectors });
     ChangeEnvelope {
         revision,
@@ -186,7 +189,7 @@
 
 /// A backend server of a watched cluster.
 #[derive(Clone, Copy, Debug)]
-struct StandInDatabase {
+struct FakeDatabase {
     primary: bool,
     down: bool,
     term: u64,
@@ -194,7 +197,7 @@
     start: u64,
 }
 
-impl StandInDatabase {
+impl FakeDatabase {
     fn report(&self) -> DatabaseReport {
         DatabaseReport {
             term: Term(self.term),
@@ -208,11 +211,11 @@
     }
 }
 
-enum Item {
+enum ScheduledEvent {
     Node(NodeEvent),
-    Incoming(usize),
-    Change(u64),
-    Restart(u64),
+    Heartbeat(usize),
+    ConfigChange(u64),
+    MemberRestart(u64),
 }
 
 struct ControlBench<'a> {
@@ -222,35 +225,35 @@
     members: Vec<MemberInfo>,
     /// Members that send heartbeats to the node.
     senders: Vec<usize>,
-    databases: HashMap<Name, StandInDatabase>,
+    databases: HashMap<Name, FakeDatabase>,
     database_count: usize,
     config_revision: u64,
     records: HashMap<Name, (std::sync::Arc<[u8]>, u64)>,
-    items: BTreeMap<(Micros, u64), Item>,
+    scheduled: BTreeMap<(Micros, u64), ScheduledEvent>,
     sequence: u64,
     count: ControlCount,
 }
 
 impl ControlBench<'_> {
-    fn later(&mut self, after: Micros, item: Item) {
+    fn schedule(&mut self, after: Micros, event: ScheduledEvent) {
         self.sequence += 1;
-        self.items.insert((self.now + after, self.sequence), item);
+        self.scheduled.insert((self.now + after, self.sequence), event);
     }
 
-    /// Runs a part of the node's work under the meters.
-    fn metered<T>(&mut self, work: impl FnOnce(&mut Node) -> T) -> T {
+    /// Runs a part of the node's work and adds its processor time, allocations and held bytes.
+    fn measure_node<T>(&mut self, work: impl FnOnce(&mut Node) -> T) -> T {
         let (allocations, held, time) =
             (meter::allocations(), meter::held_bytes(), meter::thread_time());
         let result = work(&mut self.node);
-        self.count.processor += meter::thread_time().saturating_sub(time);
+        self.count.processor_time += meter::thread_time().saturating_sub(time);
         self.count.allocations += meter::allocations() - allocations;
-        self.count.held += meter::held_bytes() - held;
+        self.count.held_bytes += meter::held_bytes() - held;
         result
     }
 
-    fn give(&mut self, event: NodeEvent) {
+    fn handle_event(&mut self, event: NodeEvent) {
         let now = self.now;
-        let actions = self.metered(|node| {
+        let actions = self.measure_node(|node| {
             let mut actions = Vec::new();
             node.handle(now, event, &mut actions);
             for action in &actions {
@@ -261,40 +264,46 @@
             actions
         });
         for action in actions {
-            self.act(action);
+            self.execute_action(action);
         }
     }
 
-    fn flow(&mut self, kind: &'static str, sent: u64, received: u64) {
+    fn count_exchange(&mut self, kind: &'static str, sent: u64, received: u64) {
         let flow = self.count.flows.entry(kind).or_default();
         flow.messages += 2;
         flow.sent += sent;
         flow.received += received;
     }
 
-    fn act(&mut self, action: NodeAction) {
+    fn execute_action(&mut self, action: NodeAction) {
         match action {
             NodeAction::SendHeartbeat { to, heartbeat } => {
                 let size = rpc::heartbeat_bytes(&heartbeat) as u64;
                 let answer = Heartbeat { from: to, changes: Vec::new(), ..heartbeat };
                 let back = rpc::heartbeat_bytes(&answer) as u64;
-                self.flow("heartbeats", size + self.wire.call, back + self.wire.answer);
-                self.later(LINK, Item::Node(NodeEvent::HeartbeatAnswered(answer)));
+                self.count_exchange("heartbeats", size + self.wire.call, back + self.wire.answer);
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledEvent::Node(NodeEvent::HeartbeatAnswered(answer)),
+                );
             }
             NodeAction::PullTable { .. } => {
                 let size = rpc::members_bytes(&self.members) as u64;
-                self.flow("tables", self.wire.call, size + self.wire.answer);
-                self.later(LINK, Item::Node(NodeEvent::TableArrived(self.members.clone())));
+                self.count_exchange("tables", self.wire.call, size + self.wire.answer);
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledEvent::Node(NodeEvent::TableArrived(self.members.clone())),
+                );
             }
             NodeAction::PullDocument { document, .. } => {
                 let bytes = fleet_document(self.database_count, self.config_revision);
-                let size = self.metered(|_| rpc::document_bytes(&bytes)) as u64;
-                self.flow("configuration", self.wire.call, size + self.wire.answer);
-                // On average every node also serves one pull.
-                self.flow("configuration", size + self.wire.answer, self.wire.call);
+                let size = self.measure_node(|_| rpc::document_bytes(&bytes)) as u64;
+                self.count_exchange("configuration", self.wire.call, size + self.wire.answer);
+                // On average, every node also serves one pull.
+                self.count_exchange("configuration", size + self.wire.answer, self.wire.call);
                 let revision = self.config_revision;
                 let event = NodeEvent::DocumentArrived { document, revision, bytes: bytes.into() };
-                self.later(LINK, Item::Node(event));
+                self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
             NodeAction::AskReport { id, database, .. } => {
                 let found = self.databases.get(&database).copied();
@@ -302,11 +311,11 @@
                     Some(found) => NodeEvent::ReportArrived { id, report: found.report() },
                     None => NodeEvent::ReportFailed { id },
                 };
-                self.flow("reports", self.wire.report_request, self.wire.report_answer);
-                self.later(LINK, Item::Node(event));
+                self.count_exchange("reports", self.wire.report_request, self.wire.report_answer);
+                self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
             NodeAction::AskFence { id, database, term, .. } => {
-                self.flow("promotion", self.wire.report_request, self.wire.report_answer);
+                self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 let event = match self.databases.get_mut(&database).filter(|found| !found.down) {
                     Some(found) => {
                         let accepted = term.0 > found.term;
@@ -317,89 +326,101 @@
                     }
                     None => NodeEvent::ReportFailed { id },
                 };
-                self.later(LINK, Item::Node(event));
+                self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
             NodeAction::AskPromote { id, database, term, .. } => {
-                self.flow("promotion", self.wire.report_request, self.wire.report_answer);
+                self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 if let Some(found) = self.databases.get_mut(&database) {
                     (found.primary, found.log_term, found.start) = (true, term.0, 1_000);
                 }
                 let start = LogPosition(1_000);
-                self.later(LINK, Item::Node(NodeEvent::PromoteAnswered { id, start }));
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledEvent::Node(NodeEvent::PromoteAnswered { id, start }),
+                );
             }
             NodeAction::AskFollow { id, database, term: Term(term), .. } => {
-                self.flow("promotion", self.wire.report_request, self.wire.report_answer);
+                self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 match self.databases.get_mut(&database).filter(|found| !found.down) {
                     Some(found) => found.log_term = term,
-                    None => self.later(LINK, Item::Node(NodeEvent::ReportFailed { id })),
+                    None => self.schedule(
+                        NETWORK_DELAY,
+                        ScheduledEvent::Node(NodeEvent::ReportFailed { id }),
+                    ),
                 }
             }
             NodeAction::AskView { to, cluster } => {
-                self.flow("promotion", self.wire.call + 100, self.wire.answer + 100);
+                self.count_exchange("promotion", self.wire.call + 100, self.wire.answer + 100);
                 let view = Some(LeaderView {
                     term: Term(1),
                     leader: None,
                     confirmed_ago: Some(Micros::from_secs(2)),
                 });
                 let event = NodeEvent::ViewAnswered { cluster, from: to.name, view };
-                self.later(LINK, Item::Node(event));
+                self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
             NodeAction::ReadRecord { cluster } => {
-                self.flow("platform", 300, 500);
+                self.count_exchange("platform", 300, 500);
                 let (bytes, index) = match self.records.get(&cluster) {
                     Some((bytes, index)) => (Some(bytes.clone()), *index),
                     None => (None, 0),
                 };
                 let answer = PlatformAnswer::RecordRead { cluster, bytes, index };
-                self.later(LINK, Item::Node(NodeEvent::PlatformAnswered(answer)));
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledEvent::Node(NodeEvent::PlatformAnswered(answer)),
+                );
             }
             NodeAction::WriteRecord { cluster, expected_index, bytes } => {
-                self.flow("platform", 500, 300);
+                self.count_exchange("platform", 500, 300);
                 let held = self.records.get(&cluster).map_or(0, |(_, index)| *index);
                 let applied = held == expected_index;
                 if applied {
                     self.records.insert(cluster.clone(), (bytes, held + 1));
                 }
                 let answer = PlatformAnswer::RecordWritten { cluster, applied };
-                self.later(LINK, Item::Node(NodeEvent::PlatformAnswered(answer)));
+                self.schedule(
+                    NETWORK_DELAY,
+                    ScheduledEvent::Node(NodeEvent::PlatformAnswered(answer)),
+                );
             }
             _ => {}
         }
     }
 
-    /// A member's heartbeat arrives, with changes.
-    fn incoming(&mut self, sender: usize, changes: Vec<MemberInfo>, config: u64) {
+    /// Delivers a heartbeat of a member to the node, with changes.
+    fn deliver_heartbeat(&mut self, sender: usize, changes: Vec<MemberInfo>, config: u64) {
         let Some(own) = self.node.heartbeat() else { return };
         let mut revisions = own.revisions.clone();
         for (document, revision) in &mut revisions {
-            if document.as_str() == CONFIG {
+            if document.as_str() == CONFIG_DOCUMENT {
                 *revision = (*revision).max(config);
             }
         }
         let from = self.members[sender].clone();
         let heartbeat = Heartbeat { from, digest: own.digest, revisions, changes };
         let size = rpc::heartbeat_bytes(&heartbeat) as u64;
-        self.give(NodeEvent::HeartbeatArrived(heartbeat));
-        let back = self.metered(|node| node.heartbeat().map(|own| rpc::heartbeat_bytes(&own)));
+        self.handle_event(NodeEvent::HeartbeatArrived(heartbeat));
+        let back = self.measure_node(|node| node.heartbeat().map(|own| rpc::heartbeat_bytes(&own)));
         let back = back.unwrap_or_default() as u64;
-        self.flow("heartbeats", back + self.wire.answer, size + self.wire.call);
+        self.count_exchange("heartbeats", back + self.wire.answer, size + self.wire.call);
     }
 
     fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let timer = self.node.next_timer().map(|due| due.max(self.now));
-            let item = self.items.first_key_value().map(|((at, _), _)| *at);
-            match (item, timer) {
+            let next = self.scheduled.first_key_value().map(|((at, _), _)| *at);
+            match (next, timer) {
                 (Some(at), timer) if at <= end && timer.is_none_or(|timer| at <= timer) => {
                     self.now = at;
-                    if let Some((_, item)) = self.items.pop_first() {
-                        self.run_item(item);
+                    if let Some((_, event)) = self.scheduled.pop_first() {
+                        self.run_event(event);
                     }
                 }
                 (_, Some(timer)) if timer <= end => {
                     self.now = timer;
-                    self.give(NodeEvent::Timer);
+                    self.handle_event(NodeEvent::Timer);
                 }
                 _ => break,
             }
@@ -407,47 +428,48 @@
         self.now = end;
     }
 
-    fn run_item(&mut self, item: Item) {
-        match item {
-            Item::Node(event) => self.give(event),
-            Item::Incoming(sender) => {
-                self.incoming(sender, Vec::new(), 0);
+    fn run_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Node(event) => self.handle_event(event),
+            ScheduledEvent::Heartbeat(sender) => {
+                self.deliver_heartbeat(sender, Vec::new(), 0);
                 let config = MemberConfig::default();
-                let near = self.senders.iter().take(NEAR_OBSERVERS).any(|near| *near == sender);
+                let near =
+                    self.senders.iter().take(NEAR_OBSERVER_COUNT).any(|near| *near == sender);
                 let rounds = if near { 1 } else { config.distant_rounds };
                 let interval = Micros(config.heartbeat_interval.0 * rounds);
-                self.later(interval, Item::Incoming(sender));
+                self.schedule(interval, ScheduledEvent::Heartbeat(sender));
             }
-            Item::Change(every) => {
+            ScheduledEvent::ConfigChange(every) => {
                 self.config_revision += 1;
                 for sender in self.senders.clone() {
-                    self.incoming(sender, Vec::new(), self.config_revision);
+                    self.deliver_heartbeat(sender, Vec::new(), self.config_revision);
                 }
-                self.later(Micros(every), Item::Change(every));
+                self.schedule(Micros(every), ScheduledEvent::ConfigChange(every));
             }
-            Item::Restart(every) => {
+            ScheduledEvent::MemberRestart(every) => {
                 let place = 1 + (self.sequence as usize * 7) % (self.members.len() - 1);
                 self.members[place].incarnation += 1;
                 let mut info = self.members[place].clone();
-                // The table keeps the start time above 12 bits of refutations.
+                // The member table stores the start time above 12 bits for refutations.
                 info.incarnation <<= 12;
                 for sender in self.senders.clone() {
-                    self.incoming(sender, vec![info.clone()], 0);
+                    self.deliver_heartbeat(sender, vec![info.clone()], 0);
                 }
-                self.later(Micros(every), Item::Restart(every));
+                self.schedule(Micros(every), ScheduledEvent::MemberRestart(every));
             }
         }
     }
 }
 
-/// Puts the member that has `role` first; returns the number of its databases.
-fn choose_own(members: &mut [MemberInfo], databases: usize, role: ControlRole) -> usize {
+/// Moves a member with `role` to the front; returns the number of databases that it owns.
+fn choose_node(members: &mut [MemberInfo], databases: usize, role: ControlRole) -> usize {
     let mut table = MemberTable::new(MemberConfig::default(), members[0].clone());
     let mut actions = Vec::new();
     table.handle(Micros::ZERO, MemberEvent::TableArrived(members.to_vec()), &mut actions);
     let mut owned: HashMap<Name, usize> = HashMap::new();
-    for index in 0..databases.div_ceil(CLUSTER_DATABASES) * CLUSTER_DATABASES {
-        let owner = table.owner_of(&database_name(index), &database_place(index));
+    for index in 0..databases.div_ceil(DATABASES_PER_CLUSTER) * DATABASES_PER_CLUSTER {
+        let owner = table.owner_of(&database_name(index), &database_data_centre(index));
         *owned.entry(owner).or_default() += 1;
     }
     let is_watcher =
@@ -458,7 +480,7 @@
         ControlRole::Owner => !is_watcher(info) && count(info) == 1,
         ControlRole::Watcher => is_watcher(info) && count(info) <= 1,
     };
-    // A small fleet may have no member of the role; then the first stands in.
+    // A small fleet may have no member with the role; then the first member is measured.
     let found = members.iter().find(fits).map_or(0, |found| {
         members.iter().position(|info| info.name == found.name).unwrap_or_default()
     });
@@ -466,7 +488,7 @@
     count(&members[0])
 }
 
-/// Counts the control work of one node.
+/// Counts the control messages and resources of one node in a run of length `span`.
 pub fn count_control(
     wire: &WireSizes,
     (member_count, database_count): (usize, usize),
@@ -475,14 +497,14 @@
     span: Micros,
 ) -> ControlCount {
     let mut members: Vec<MemberInfo> = (0..member_count).map(member_info).collect();
-    let owned = choose_own(&mut members, database_count, role);
+    let owned_databases = choose_node(&mut members, database_count, role);
     let own = members[0].clone();
     let mut senders: Vec<usize> = (1..members.len())
         .filter(|index| members[*index].data_centre == own.data_centre)
-        .take(OBSERVERS)
+        .take(OBSERVER_COUNT)
         .collect();
     if role == ControlRole::Watcher {
-        for place in 0..DATA_CENTRES {
+        for place in 0..DATA_CENTRE_COUNT {
             let place = format!("north-{place}");
             if place != own.data_centre.as_str() {
                 senders.extend(members.iter().position(|info| info.data_centre.as_str() == place));
@@ -504,11 +526,10 @@
         drain_timeout: Micros::from_secs(5),
         log_level: "info".into(),
     };
-    let databases = (0..database_count.div_ceil(CLUSTER_DATABASES) * CLUSTER_DATABASES)
+    let databases = (0..database_count.div_ceil(DATABASES_PER_CLUSTER) * DATABASES_PER_CLUSTER)
         .map(|index| {
-            let primary = index % CLUSTER_DATABASES == 0;
-            let database =
-                StandInDatabase { primary, down: false, term: 1, log_term: 1, start: 24 };
+            let primary = index % DATABASES_PER_CLUSTER == 0;
+            let database = FakeDatabase { primary, down: false, term: 1, log_term: 1, start: 24 };
             (database_name(index).into(), database)
         })
         .collect();
@@ -525,40 +546,44 @@
         database_count,
         config_revision: 1,
         records: HashMap::new(),
-        items: BTreeMap::new(),
+        scheduled: BTreeMap::new(),
         sequence: 0,
-        count: ControlCount { held: base, ..ControlCount::default() },
+        count: ControlCount { held_bytes: base, ..ControlCount::default() },
     };
-    // The table's incarnations are shifted as a member shifts its own.
+    // Shifts the incarnations, as members do with their own in the table.
     let mut table = bench.members.clone();
     for info in &mut table {
         info.incarnation <<= 12;
     }
     bench.members = table.clone();
-    bench.give(NodeEvent::Timer);
-    bench.give(NodeEvent::TableArrived(table));
+    bench.handle_event(NodeEvent::Timer);
+    bench.handle_event(NodeEvent::TableArrived(table));
     let bytes = fleet_document(database_count, 1).into();
-    bench.give(NodeEvent::DocumentArrived { document: CONFIG.into(), revision: 1, bytes });
+    bench.handle_event(NodeEvent::DocumentArrived {
+        document: CONFIG_DOCUMENT.into(),
+        revision: 1,
+        bytes,
+    });
     let keys = format!("[{{\"id\":1,\"secret\":\"{}\"}}]", "5a".repeat(32)).into_bytes();
-    bench.give(NodeEvent::DocumentArrived {
+    bench.handle_event(NodeEvent::DocumentArrived {
         document: "token-keys".into(),
         revision: 1,
         bytes: keys.into(),
     });
     for (place, sender) in bench.senders.clone().into_iter().enumerate() {
-        bench.later(Micros::from_millis(90 * place as u64), Item::Incoming(sender));
+        bench.schedule(Micros::from_millis(90 * place as u64), ScheduledEvent::Heartbeat(sender));
     }
     bench.run_for(WARM_UP);
-    let held = bench.count.held;
-    bench.count = ControlCount { held, owned, ..ControlCount::default() };
-    if let Some(every) = load.config_every {
-        bench.later(every, Item::Change(every.0));
+    let held_bytes = bench.count.held_bytes;
+    bench.count = ControlCount { held_bytes, owned_databases, ..ControlCount::default() };
+    if let Some(every) = load.config_interval {
+        bench.schedule(every, ScheduledEvent::ConfigChange(every.0));
     }
-    if let Some(every) = load.member_every {
-        bench.later(every, Item::Restart(every.0));
+    if let Some(every) = load.restart_interval {
+        bench.schedule(every, ScheduledEvent::MemberRestart(every.0));
     }
     if load.promotion {
-        for index in (0..database_count).filter(|index| index % CLUSTER_DATABASES == 0) {
+        for index in (0..database_count).filter(|index| index % DATABASES_PER_CLUSTER == 0) {
             let name = Name::from(database_name(index));
             if let Some(database) = bench.databases.get_mut(&name) {
                 database.down = true;
@@ -571,13 +596,13 @@
     bench.count
 }
 
-/// Returns report requests a second of one cluster's owner with a commit every `interval` and the
-/// databases 1 ms away; `None` for no commits.
+/// Returns the report requests a second that the owner of one cluster sends with a commit every
+/// `interval` (`None` for no commits) and a network delay of 1 ms to the databases.
 pub fn report_rate(interval: Option<Micros>) -> f64 {
-    let names: Vec<Name> = (0..CLUSTER_DATABASES).map(|n| database_name(n).into()).collect();
+    let names: Vec<Name> = (0..DATABASES_PER_CLUSTER).map(|n| database_name(n).into()).collect();
     let mut watch = ClusterWatch::new(WatchConfig::default(), names.clone());
     let mut answers: BTreeMap<(Micros, u64), (Name, u64)> = BTreeMap::new();
-    let (mut now, mut sequence, mut asked, mut commit) = (Micros::ZERO, 0, 0_u64, 0);
+    let (mut now, mut sequence, mut request_count, mut commit) = (Micros::ZERO, 0, 0_u64, 0);
     let (start, end) = (Micros::from_secs(2), Micros::from_secs(12));
     let mut next_commit = interval.map(|_| start);
     while now < end {
@@ -598,7 +623,7 @@
             next_commit = interval.map(|interval| now + interval);
         } else if answer == Some(next) {
             if let Some((_, (database, round))) = answers.pop_first() {
-                let report = StandInDatabase {
+                let report = FakeDatabase {
                     primary: database == names[0],
                     down: false,
                     term: 1,
@@ -614,16 +639,16 @@
         }
         for action in actions {
             if let WatchAction::AskReport { database, round } = action {
-                asked += u64::from(now >= start);
+                request_count += u64::from(now >= start);
                 sequence += 1;
-                answers.insert((now + LINK + LINK, sequence), (database, round));
+                answers.insert((now + NETWORK_DELAY + NETWORK_DELAY, sequence), (database, round));
             }
         }
     }
-    asked as f64 / (end.saturating_sub(start).0 as f64 / 1e6)
+    request_count as f64 / (end.saturating_sub(start).0 as f64 / 1e6)
 }
 
-/// Measures the control work of each role and renders it as tables. The span of the idle runs is 300 s.
+/// Measures the control work of each role and renders tables. The idle runs take 300 s of virtual time.
 ///
 /// # Errors
 ///
@@ -631,7 +656,7 @@
 pub fn render_table() -> anyhow::Result<String> {
     let wire = WireSizes::measure()?;
     let mut out = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(
         out,
         "bytes beyond a heartbeat's body: call and finish {}, return {}; report: request {}, \
@@ -658,8 +683,8 @@
     let idle = Micros::from_secs(300);
     for role in [ControlRole::Entry, ControlRole::Owner, ControlRole::Watcher] {
         let mut counts = Vec::new();
-        for size in SIZES {
-            let count = count_quietly(&wire, size, role, ControlLoad::default(), idle);
+        for size in FLEET_SIZES {
+            let count = count_least_disturbed(&wire, size, role, ControlLoad::default(), idle);
             let _ = writeln!(
                 out,
                 "{:<12} {:>8} {:>9} {:>6} {:>10.1} {:>9.0} {:>9.0} {:>9.0} {:>9.0} {:>9.0} \
@@ -667,7 +692,7 @@
                 role.name(),
                 size.0,
                 size.1,
-                count.owned,
+                count.owned_databases,
                 count.messages_per_second(None),
                 count.sent_per_second(Some("heartbeats")),
                 count.received_per_second(Some("heartbeats")),
@@ -675,19 +700,20 @@
                 count.received_per_second(Some("reports")),
                 count.sent_per_second(None),
                 count.allocations as f64 / count.seconds,
-                count.processor.as_secs_f64() * 1e6 / count.seconds,
-                count.held,
+                count.processor_time.as_secs_f64() * 1e6 / count.seconds,
+                count.held_bytes,
             );
             counts.push((size, count));
         }
-        // Below 94 members a node has fewer than four contacts.
+        // The slope starts at 94 members, because below that a node has fewer than four observers.
         if let [_, (small, first), _, (large, last)] = &counts[..] {
             let members = (large.0 - small.0) as f64;
             let databases = (large.1 - small.1) as f64;
             let sent = last.sent_per_second(Some("heartbeats"))
                 - first.sent_per_second(Some("heartbeats"));
-            let held = (last.held - first.held) as f64;
-            let processor = last.processor.as_secs_f64() - first.processor.as_secs_f64();
+            let held = (last.held_bytes - first.held_bytes) as f64;
+            let processor_time =
+                last.processor_time.as_secs_f64() - first.processor_time.as_secs_f64();
             let _ = writeln!(
                 out,
                 "  slope from {} to {} members: {:.3} heartbeat B/s, {:.0} held bytes, {:.2} cpu \
@@ -696,7 +722,7 @@
                 large.0,
                 sent / members,
                 held / members,
-                processor * 1e6 / first.seconds / members,
+                processor_time * 1e6 / first.seconds / members,
                 held / databases,
             );
         }
@@ -706,8 +732,9 @@
     Ok(out)
 }
 
-/// Counts with the least processor time of five runs, which the machine's other work disturbs least.
-fn count_quietly(
+/// Counts one run, with the least processor time of five runs: the one least disturbed by other
+/// processes of the machine.
+fn count_least_disturbed(
     wire: &WireSizes,
     size: (usize, usize),
     role: ControlRole,
@@ -717,12 +744,12 @@
     let mut best = count_control(wire, size, role, load, span);
     for _ in 1..5 {
         let count = count_control(wire, size, role, load, span);
-        best.processor = best.processor.min(count.processor);
+        best.processor_time = best.processor_time.min(count.processor_time);
     }
     best
 }
 
-/// Renders the cost of single changes: with them minus without.
+/// Renders the cost of single changes: the difference between a run with and one without them.
 fn render_changes(wire: &WireSizes, out: &mut String) {
     let _ = writeln!(
         out,
@@ -731,19 +758,20 @@
     );
     let span = Micros::from_secs(200);
     let every = Micros::from_secs(10);
-    for size in SIZES {
-        let idle = count_quietly(wire, size, ControlRole::Owner, ControlLoad::default(), span);
-        let config = ControlLoad { config_every: Some(every), ..ControlLoad::default() };
-        let member = ControlLoad { member_every: Some(every), ..ControlLoad::default() };
+    for size in FLEET_SIZES {
+        let idle =
+            count_least_disturbed(wire, size, ControlRole::Owner, ControlLoad::default(), span);
+        let config = ControlLoad { config_interval: Some(every), ..ControlLoad::default() };
+        let member = ControlLoad { restart_interval: Some(every), ..ControlLoad::default() };
         let promotion = ControlLoad { promotion: true, ..ControlLoad::default() };
         for (name, load, changes) in [
             ("configuration change", config, 20.0),
             ("member restart", member, 20.0),
-            ("promotion, per cluster", promotion, idle.owned.max(1) as f64),
+            ("promotion, per cluster", promotion, idle.owned_databases.max(1) as f64),
         ] {
-            let busy = count_quietly(wire, size, ControlRole::Owner, load, span);
+            let busy = count_least_disturbed(wire, size, ControlRole::Owner, load, span);
             let change = |value: &dyn Fn(&ControlCount) -> f64| {
-                // Report rounds go on in both runs; a promotion changes their number a little.
+                // Both runs include report rounds; a promotion changes their number slightly.
                 (value(&busy) - value(&idle)) / changes
             };
             let _ = writeln!(
@@ -756,7 +784,7 @@
                 change(&|count| count.sum(None, |flow| flow.sent) as f64),
                 change(&|count| count.sum(None, |flow| flow.received) as f64),
                 change(&|count| count.allocations as f64),
-                change(&|count| count.processor.as_secs_f64() * 1e6),
+                change(&|count| count.processor_time.as_secs_f64() * 1e6),
             );
         }
         let document = fleet_document(size.1, 1);
@@ -771,7 +799,7 @@
     }
 }
 
-/// Renders the report rounds of one cluster's owner.
+/// Renders the report rounds that the owner of one cluster runs.
 fn render_reports(wire: &WireSizes, out: &mut String) {
     let _ = writeln!(
         out,
