--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -1,6 +1,6 @@
 //! Processor time of single decisions, as the number of callers and databases grows.
 //!
-//! Each row is the mean over many decisions in one thread. The slope is the exponent b of
+//! Each figure is the mean over many decisions in one thread. The slope of a row is the exponent b of
 //! time = a x size^b, fitted over the sizes of the row: 0 is constant, 1 is linear.
 
 use std::fmt::Write;
@@ -16,23 +16,23 @@
 use route::{DatabaseHint, SelectorTable, choose_database};
 use stats::{CallerMeasure, CallerTable};
 
-/// Numbers of callers measured.
+/// Numbers of callers at which decisions are measured.
 pub const CALLER_COUNTS: [usize; 4] = [10, 100, 1_000, 10_000];
-/// Numbers of databases measured.
+/// Numbers of databases at which decisions are measured.
 pub const DATABASE_COUNTS: [usize; 4] = [1, 10, 100, 680];
 
-/// Times of one decision at growing sizes.
+/// Times of one decision at increasing sizes.
 #[derive(Clone, Debug)]
 pub struct DecisionRow {
     pub decision: &'static str,
-    /// What grows.
+    /// Unit of the sizes.
     pub unit: &'static str,
-    /// Size and nanoseconds.
+    /// Size, and nanoseconds of one decision.
     pub points: Vec<(usize, f64)>,
 }
 
 impl DecisionRow {
-    /// Returns the exponent of the growth, by least squares over the logarithms.
+    /// Returns the exponent of the growth, fitted by least squares to the logarithms.
     pub fn slope(&self) -> f64 {
         let count = self.points.len() as f64;
         let logs = self.points.iter().map(|(size, nanos)| ((*size as f64).ln(), nanos.ln()));
@@ -47,17 +47,17 @@
     }
 }
 
-/// Names `prefix-0` to `prefix-(count - 1)`.
+/// Returns the names `prefix-0` to `prefix-(count - 1)`.
 fn names(prefix: &str, count: usize) -> Vec<Name> {
     (0..count).map(|index| Name::from(format!("{prefix}-{index}"))).collect()
 }
 
-/// Spreads an index over `count` places, so that neighbours are far apart.
+/// Maps an index to one of `count` places, so that consecutive indexes are far apart.
 fn spread(index: usize, count: usize) -> usize {
     ((index as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 17) as usize % count
 }
 
-/// Mean nanoseconds of `decide`, which gets the number of the turn.
+/// Returns the mean nanoseconds of `decide`, which is called with the number of the turn.
 fn measure(turns: usize, mut decide: impl FnMut(usize)) -> f64 {
     for turn in 0..turns / 10 {
         decide(turn);
@@ -69,8 +69,8 @@
     start.elapsed().as_nanos() as f64 / turns as f64
 }
 
-/// Enqueue, grant and finish in one of `databases` queues, each with one request of each of `callers`
-/// waiting.
+/// Measures enqueue, grant and finish in one of `databases` queues, in each of which one request of each
+/// of `callers` callers waits.
 fn measure_queue(databases: usize, callers: usize, turns: usize) -> f64 {
     let callers = names("caller", callers);
     let rank = RankConfig { floor_percent: 10, queue_limit: 1_000_000 };
@@ -102,7 +102,7 @@
     })
 }
 
-/// Configuration with 20 selectors and `callers` label rules, of which each matches one user.
+/// Returns a configuration with 20 selectors and `callers` label rules, each of which matches one user.
 fn selectors(callers: usize) -> FleetConfig {
     let matches = |text: String| text.parse::<LabelSelector>().unwrap_or_default();
     FleetConfig {
@@ -127,7 +127,8 @@
     }
 }
 
-/// Policy of a request: 20 selectors of which the last matches, for callers with labels of their own.
+/// Measures the choice of a policy among 20 selectors of which the last matches. Each caller has its own
+/// labels.
 fn measure_policy(callers: usize, turns: usize) -> f64 {
     let table = SelectorTable::compile(&selectors(0));
     let labels: Vec<LabelSet> = names("caller", callers)
@@ -139,7 +140,7 @@
     })
 }
 
-/// Labels of a new session, with `callers` label rules.
+/// Measures the labelling of a new session with `callers` label rules.
 fn measure_caller_labels(callers: usize, turns: usize) -> f64 {
     let table = SelectorTable::compile(&selectors(callers));
     let attributes = LabelSet::from_pairs([("user", "caller-0"), ("address", "10.0.0.1")]);
@@ -148,7 +149,7 @@
     })
 }
 
-/// Choice among the databases of one cluster.
+/// Measures the choice among the databases of one cluster.
 fn measure_choice(databases: usize, turns: usize) -> f64 {
     let table = SelectorTable::compile(&selectors(0));
     let labels = LabelSet::from_pairs([("kind", "kiosk"), ("work", "w0")]);
@@ -173,7 +174,7 @@
     })
 }
 
-/// One count in a table of 2,048 callers.
+/// Measures one count in a table of 2,048 callers.
 fn measure_count(callers: usize, turns: usize) -> f64 {
     let callers = names("caller", callers);
     let mut table = CallerTable::new(2_048);
@@ -184,7 +185,7 @@
     })
 }
 
-/// One round of a cluster with this number of databases, for each database.
+/// Measures one report round of a cluster; returns the time for each of its databases.
 fn measure_round(databases: usize, turns: usize) -> f64 {
     let databases = names("db", databases);
     let mut watch = ClusterWatch::new(WatchConfig::default(), databases.clone());
@@ -239,7 +240,7 @@
     ]
 }
 
-/// Returns the table of all decisions.
+/// Renders a line for each decision.
 pub fn render_table(turns: usize) -> String {
     let mut table = String::from("decision                 grows          size: ns\n");
     for row in measure_decisions(turns) {
--- a/crates/bench/tests/decision.rs
+++ b/crates/bench/tests/decision.rs
@@ -1,4 +1,5 @@
-//! Runs the benchmark of single decisions. Times vary with the machine, so only the shape is checked.
+//! Runs the benchmark of single decisions. Times vary with the machine, so only the shape of the results
+//! is checked.
 
 use bench::decision::{measure_decisions, render_table};
 
