--- a/crates/bench/src/rank.rs
+++ b/crates/bench/src/rank.rs
@@ -1,9 +1,8 @@
 //! Service of the ranks under overload, in virtual time.
 //!
-//! One database with its slots receives streams of requests with random arrivals and service times. The
-//! same arrivals and service times go through the [`SlotQueue`] and through a plain queue that serves
-//! first come, first served and knows neither ranks nor deadlines. The sizes are those of section 1.4 of
-//! the design page.
+//! One database receives streams of requests with random arrival and service times. The same requests go
+//! through the [`SlotQueue`] and through a plain first-come, first-served queue without ranks and
+//! deadlines. The sizes are those of section 1.4 of the design page.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -12,14 +11,14 @@
 use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
 use model::{Micros, Name, Rank, RankConfig, RankMap, SeededRandom};
 
-/// Slots of a database of each user.
+/// Numbers of slots of a database at the two users.
 pub const SLOT_COUNTS: [u32; 2] = [2, 5];
-/// Requests that may wait in each rank; the plain queue holds three times as many.
+/// Maximum number of waiting requests of each rank; the plain queue holds three times as many.
 pub(crate) const QUEUE_LIMIT: u32 = 1_024;
 /// Minimum shares of the experiments, in percent.
-pub const FLOORS: RankMap<u32> = RankMap([0, 15, 10]);
+pub const MIN_SHARES: RankMap<u32> = RankMap([0, 15, 10]);
 
-/// Queue under test.
+/// Kind of the queue under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueKind {
     /// [`SlotQueue`].
@@ -28,7 +27,7 @@
     Plain,
 }
 
-/// Requests of one kind with exponential times between arrivals.
+/// Stream of requests of one kind, with exponentially distributed times between arrivals.
 #[derive(Clone, Debug)]
 pub struct LoadStream {
     pub rank: Rank,
@@ -36,21 +35,21 @@
     pub callers: u64,
     /// Offered load as a multiple of what all slots can serve.
     pub load: f64,
-    /// Mean service time. Half of it is constant, half exponential.
+    /// Mean service time. Half of it is constant, the other half exponentially distributed.
     pub service: Micros,
     pub deadline: Micros,
     pub from: Micros,
     pub until: Micros,
 }
 
-/// One run.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
 pub struct RankExperiment {
     pub slots: u32,
     pub streams: Vec<LoadStream>,
     /// Outcomes of requests that arrive before this are not counted.
     pub warm_up: Micros,
-    /// Requests that arrive from this time on are counted apart, as those after a flood.
+    /// Requests that arrive from this time on are also counted separately, as those after an overload.
     pub settled_from: RankMap<Micros>,
     pub seed: u64,
 }
@@ -63,14 +62,14 @@
     pub in_time: u64,
     /// Answered too late.
     pub late: u64,
-    /// Refused as "not run".
+    /// Refused without being executed.
     pub refused: u64,
     /// Share of the slot time of all slots, from 0 to 1.
     pub share: f64,
-    /// Requests that arrived after the settling time, and those of them answered in time.
+    /// Requests that arrived after `settled_from`, and those of them answered in time.
     pub settled: u64,
     pub settled_in_time: u64,
-    /// Waits for a slot of the requests that were answered.
+    /// Times that answered requests waited for a slot.
     pub waits: Vec<Micros>,
 }
 
@@ -78,9 +77,9 @@
 #[derive(Clone, Debug)]
 pub struct RunOutcome {
     pub ranks: RankMap<RankOutcome>,
-    /// Share of the slots in use during the time in which work waits.
+    /// Share of the slots in use while requests wait.
     pub busy: f64,
-    /// Share of the slot time that went to answers within their deadline.
+    /// Share of the slot time spent on requests that were answered within their deadline.
     pub useful: f64,
 }
 
@@ -92,18 +91,18 @@
 }
 
 impl RankOutcome {
-    /// Share of the requests that were answered within their deadline, from 0 to 1.
+    /// Returns the share of requests that were answered within their deadline, from 0 to 1.
     pub fn in_time_share(&self) -> f64 {
         if self.offered == 0 { 1.0 } else { self.in_time as f64 / self.offered as f64 }
     }
 
-    /// The same for requests that arrived after the settling time.
+    /// Returns the same share of the requests that arrived after `settled_from`.
     pub fn settled_share(&self) -> f64 {
         if self.settled == 0 { 1.0 } else { self.settled_in_time as f64 / self.settled as f64 }
     }
 }
 
-/// Exponential with mean 1.
+/// Draws from the exponential distribution with mean 1.
 fn exponential(random: &mut SeededRandom) -> f64 {
     -(1.0 - random.unit()).ln()
 }
@@ -114,13 +113,13 @@
     pub arrives: Micros,
     pub stream: usize,
     pub caller: Name,
-    /// Place of the caller among those of its stream.
+    /// Index of the caller in its stream.
     pub caller_index: usize,
     pub service: Micros,
 }
 
-/// Draws all requests of an experiment, in order of arrival.
-pub(crate) fn draw_requests(experiment: &RankExperiment) -> Vec<ExperimentRequest> {
+/// Generates all requests of an experiment, in order of arrival.
+pub(crate) fn generate_requests(experiment: &RankExperiment) -> Vec<ExperimentRequest> {
     let mut random = SeededRandom::new(experiment.seed);
     let mut requests = Vec::new();
     for (index, stream) in experiment.streams.iter().enumerate() {
@@ -149,7 +148,7 @@
     requests
 }
 
-/// Either queue behind the same calls.
+/// Common interface of both queues.
 enum QueueUnderTest {
     Ranked(Box<SlotQueue>),
     Plain { slots: usize, running: usize, waiting: VecDeque<WorkId> },
@@ -159,7 +158,7 @@
     fn new(kind: QueueKind, slots: u32) -> Self {
         match kind {
             QueueKind::Ranked => {
-                let ranks = FLOORS
+                let ranks = MIN_SHARES
                     .0
                     .map(|floor_percent| RankConfig { floor_percent, queue_limit: QUEUE_LIMIT });
                 let config = QueueConfig { slots, ranks: RankMap(ranks) };
@@ -226,7 +225,7 @@
 
 /// Runs an experiment through one queue.
 pub fn run_experiment(experiment: &RankExperiment, kind: QueueKind) -> RunOutcome {
-    let requests = draw_requests(experiment);
+    let requests = generate_requests(experiment);
     let end = experiment.streams.iter().map(|stream| stream.until).max().unwrap_or_default();
     let mut queue = QueueUnderTest::new(kind, experiment.slots);
     let mut outcome = RunOutcome::default();
@@ -345,11 +344,11 @@
 }
 
 /// Length of an experiment.
-pub const LENGTH: Micros = Micros::from_secs(60);
-/// Time until the estimates and queues have settled.
+pub const EXPERIMENT_LENGTH: Micros = Micros::from_secs(60);
+/// Time until the estimates and queue lengths have become steady.
 pub const WARM_UP: Micros = Micros::from_secs(10);
 
-/// Returns the streams of a mix in a time span.
+/// Returns the streams of a mix that arrive between `from` and `until`.
 pub fn streams(mix: LoadMix, from: Micros, until: Micros) -> Vec<LoadStream> {
     let stream = |rank, selector, callers, load, service, deadline| LoadStream {
         rank,
@@ -370,36 +369,37 @@
     all.into_iter().filter(|stream| stream.load > 0.0).collect()
 }
 
-/// Load without a flood: 75% of the capacity.
+/// Load without overload: 75% of the capacity.
 pub const NORMAL: LoadMix = LoadMix { urgent: 0.5, interactive: 0.1, batch: 0.1, reports: 0.05 };
 
-/// Returns an experiment with one mix for its whole length.
+/// Returns an experiment with the same mix for its whole length.
 pub fn steady(slots: u32, mix: LoadMix, seed: u64) -> RankExperiment {
     RankExperiment {
         slots,
-        streams: streams(mix, Micros::ZERO, LENGTH),
+        streams: streams(mix, Micros::ZERO, EXPERIMENT_LENGTH),
         warm_up: WARM_UP,
         settled_from: RankMap([WARM_UP; 3]),
         seed,
     }
 }
 
-/// Returns an experiment with normal load and a flood between 15 s and 25 s. The settling time of each
-/// rank is one deadline after the end of the flood.
-pub fn passing_flood(slots: u32, flood: LoadMix, seed: u64) -> RankExperiment {
-    let mut all = streams(NORMAL, Micros::ZERO, LENGTH);
-    all.extend(streams(flood, FLOOD_FROM, FLOOD_UNTIL));
-    let settled_from = RankMap([1, 1, 5].map(|deadline| FLOOD_UNTIL + Micros::from_secs(deadline)));
+/// Returns an experiment with normal load and an overload between 15 s and 25 s. Requests of a rank count
+/// as settled from one deadline after the end of the overload.
+pub fn temporary_overload(slots: u32, overload: LoadMix, seed: u64) -> RankExperiment {
+    let mut all = streams(NORMAL, Micros::ZERO, EXPERIMENT_LENGTH);
+    all.extend(streams(overload, OVERLOAD_START, OVERLOAD_END));
+    let settled_from =
+        RankMap([1, 1, 5].map(|deadline| OVERLOAD_END + Micros::from_secs(deadline)));
     RankExperiment { slots, streams: all, warm_up: WARM_UP, settled_from, seed }
 }
 
-/// Begin of a passing flood.
-pub const FLOOD_FROM: Micros = Micros::from_secs(15);
-/// End of a passing flood.
-pub const FLOOD_UNTIL: Micros = Micros::from_secs(25);
+/// Start of a temporary overload.
+pub const OVERLOAD_START: Micros = Micros::from_secs(15);
+/// End of a temporary overload.
+pub const OVERLOAD_END: Micros = Micros::from_secs(25);
 
-/// Returns the floods of the experiments by name.
-pub fn floods() -> Vec<(&'static str, LoadMix)> {
+/// Returns the loads of the experiments by name.
+pub fn experiment_loads() -> Vec<(&'static str, LoadMix)> {
     vec![
         ("normal", NORMAL),
         ("batch x3", LoadMix { batch: 3.0, ..NORMAL }),
@@ -410,12 +410,12 @@
     ]
 }
 
-/// Returns one line for each flood, size, queue and rank.
+/// Renders a line for each load, number of slots, queue and rank.
 pub fn render_table(seed: u64) -> String {
     let mut table = String::from(
         "flood       slots queue  rank         offered in time   late refused  share  p99 wait\n",
     );
-    for (name, mix) in floods() {
+    for (name, mix) in experiment_loads() {
         for slots in SLOT_COUNTS {
             for kind in [QueueKind::Ranked, QueueKind::Plain] {
                 let outcome = run_experiment(&steady(slots, mix, seed), kind);
--- a/crates/bench/src/share.rs
+++ b/crates/bench/src/share.rs
@@ -1,15 +1,15 @@
 //! One database shared by several proxies, in virtual time.
 //!
-//! The same requests reach nine proxies, the first of which has half of the callers. Three designs share
-//! the slots and connections of the database:
+//! The same requests arrive at nine proxies, the first of which has half of the callers. Three designs
+//! distribute the slots and connections of the database:
 //!
-//! - **equal**: each proxy keeps a ninth of the slots and connections, at least one of each;
+//! - **equal**: each proxy has a ninth of the slots and connections, and at least one of each;
 //! - **lent**: each slot belongs to one proxy at a time, with a part of the connections. A proxy without
 //!   a free slot asks the others in turn. One that has a free slot, or only less urgent work, lends it;
 //! - **owner**: one proxy has all slots and connections; the others forward their requests to it.
 //!
-//! Each holder of slots orders its work with a [`SlotQueue`], so the designs differ only in who holds the
-//! slots. The database executes at most its number of slots at once and queues further statements in
+//! Each holder of slots orders its requests with a [`SlotQueue`], so the designs differ only in which proxy
+//! holds the slots. The database executes at most its number of slots at once and queues further statements in
 //! order of arrival. A new connection takes [`OPEN_TIME`].
 
 use std::cmp::Reverse;
@@ -20,19 +20,20 @@
 use model::{Micros, Rank, RankConfig, RankMap};
 
 use crate::rank::{
-    ExperimentRequest, FLOORS, LoadMix, NORMAL, QUEUE_LIMIT, RankExperiment, draw_requests, steady,
+    ExperimentRequest, LoadMix, MIN_SHARES, NORMAL, QUEUE_LIMIT, RankExperiment, generate_requests,
+    steady,
 };
 
-/// Proxies in front of the database.
-pub const PROXIES: usize = 9;
+/// Number of proxies in front of the database.
+pub const PROXY_COUNT: usize = 9;
 /// Time to open a connection.
 pub const OPEN_TIME: Micros = Micros::from_millis(12);
-/// Pause of a proxy after all others declined to lend a slot.
-const ASK_PAUSE: Micros = Micros::from_millis(5);
-/// The owner is not the proxy with half of the callers: most requests take the hop.
-const OWNER: usize = 1;
+/// Pause before a proxy asks again after all others declined to lend a slot.
+const ASK_BACKOFF: Micros = Micros::from_millis(5);
+/// Index of the owner. It is not the proxy with half of the callers, so most requests are forwarded.
+const OWNER_PROXY: usize = 1;
 
-/// Who holds the slots and connections.
+/// Design that determines which proxy holds the slots and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShareDesign {
     Equal,
@@ -53,7 +54,7 @@
     }
 }
 
-/// Limits of the database and latency of one hop between proxies.
+/// Limits of the database, and network delay between proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareSize {
     pub slots: u32,
@@ -62,7 +63,7 @@
 }
 
 /// Sizes of both users (section 1.4 of the design page).
-pub const SIZES: [ShareSize; 2] = [
+pub const SHARE_SIZES: [ShareSize; 2] = [
     ShareSize { slots: 2, connections: 16, hop: Micros(500) },
     ShareSize { slots: 5, connections: 55, hop: Micros(1_400) },
 ];
@@ -71,21 +72,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShareRank {
     pub offered: u64,
-    /// Answers that reached the entry proxy within the deadline.
+    /// Requests whose answer reached the entry proxy within the deadline.
     pub in_time: u64,
     /// Share of the slot time of all slots, from 0 to 1.
     pub share: f64,
-    /// Time from the arrival at the entry proxy to the start in the database, of answered requests.
+    /// Times from the arrival at the entry proxy to the start in the database, of answered requests.
     pub waits: Vec<Micros>,
 }
 
 impl ShareRank {
-    /// Share of the requests that were answered within their deadline, from 0 to 1.
+    /// Returns the share of requests that were answered within their deadline, from 0 to 1.
     pub fn in_time_share(&self) -> f64 {
         if self.offered == 0 { 1.0 } else { self.in_time as f64 / self.offered as f64 }
     }
 
-    /// Returns a percentile of the waits; zero without an answer.
+    /// Returns a percentile of the waits; zero if no request was answered.
     pub fn wait(&self, percent: usize) -> Micros {
         self.waits.get(self.waits.len() * percent / 100).copied().unwrap_or_default()
     }
@@ -95,18 +96,18 @@
 #[derive(Clone, Debug)]
 pub struct ShareOutcome {
     pub ranks: RankMap<ShareRank>,
-    /// Share of the database's slots in use while work waits in a queue, from 0 to 1. Requests on
-    /// their way to the owner do not count as waiting in a queue.
+    /// Share of the database's slots in use while requests wait in a queue, from 0 to 1. Requests that
+    /// are being forwarded to the owner do not count as waiting.
     pub busy: f64,
     /// Messages between proxies for each request.
     pub messages: f64,
-    /// Most statements sent to the database at once.
+    /// Highest number of statements in the database at the same time.
     pub slots_highest: u32,
-    /// Most connections open or opening at once.
+    /// Highest number of connections open or opening at the same time.
     pub connections_highest: u32,
 }
 
-/// A holder of slots.
+/// A proxy that holds slots.
 struct SlotHolder {
     queue: SlotQueue,
     slots: u32,
@@ -114,23 +115,23 @@
     waiting: RankMap<u32>,
     connections: u32,
     idle: u32,
-    /// The holder whose answer is awaited, or a pause.
-    asking: bool,
+    /// Whether an answer to a slot request or the end of [`ASK_BACKOFF`] is awaited.
+    awaiting_slot: bool,
     next_peer: usize,
     declined: usize,
-    /// Those whom a slot was promised as soon as one is free.
+    /// Holders to which a slot was promised as soon as one is free, with the rank of their request.
     promised: VecDeque<(usize, Rank)>,
-    /// Earliest expiry that is scheduled.
-    expires: Option<Micros>,
+    /// Time of the earliest scheduled [`ShareEvent::Expire`].
+    next_expiry_event: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ShareEvent {
     Finished { request: usize },
-    Ask { from: usize, to: usize, rank: Rank },
+    SlotRequest { from: usize, to: usize, rank: Rank },
     Lent { to: usize },
     Declined { to: usize },
-    AskAgain { holder: usize },
+    RetryRequest { holder: usize },
     Opened { request: usize },
     Queued { request: usize },
     Arrived { request: usize },
@@ -146,9 +147,9 @@
     events: BinaryHeap<Reverse<(Micros, u64, ShareEvent)>>,
     sequence: u64,
     now: Micros,
-    /// End of the arrivals; what happens later is not measured.
+    /// End of the arrivals; shares of slots are not measured after it.
     end: Micros,
-    /// Statements in the database beyond its slots.
+    /// Statements that wait in the database for a slot.
     backlog: VecDeque<usize>,
     executing: u32,
     sent: u32,
@@ -162,12 +163,12 @@
 
 fn queue_config(slots: u32) -> QueueConfig {
     let rank = |floor_percent| RankConfig { floor_percent, queue_limit: QUEUE_LIMIT };
-    QueueConfig { slots, ranks: RankMap(FLOORS.0.map(rank)) }
+    QueueConfig { slots, ranks: RankMap(MIN_SHARES.0.map(rank)) }
 }
 
-/// Returns the proxy of a caller: the first one has half of them.
-fn entry_of(caller: usize) -> usize {
-    if caller.is_multiple_of(2) { 0 } else { 1 + caller / 2 % (PROXIES - 1) }
+/// Returns the entry proxy of a caller; the first proxy has half of the callers.
+fn entry_proxy(caller: usize) -> usize {
+    if caller.is_multiple_of(2) { 0 } else { 1 + caller / 2 % (PROXY_COUNT - 1) }
 }
 
 /// Runs an experiment through one design.
@@ -177,11 +178,11 @@
     design: ShareDesign,
 ) -> ShareOutcome {
     let slots_of = |holder: usize| match design {
-        ShareDesign::Equal => (size.slots / PROXIES as u32).max(1),
+        ShareDesign::Equal => (size.slots / PROXY_COUNT as u32).max(1),
         ShareDesign::Lent => u32::from(holder < size.slots as usize),
         ShareDesign::Owner => size.slots,
     };
-    let count = if design == ShareDesign::Owner { 1 } else { PROXIES };
+    let count = if design == ShareDesign::Owner { 1 } else { PROXY_COUNT };
     let holders = (0..count).map(|holder| SlotHolder {
         queue: SlotQueue::new(queue_config(slots_of(holder))),
         slots: slots_of(holder),
@@ -189,13 +190,13 @@
         waiting: RankMap([0; 3]),
         connections: 0,
         idle: 0,
-        asking: false,
-        next_peer: (holder + 1) % PROXIES,
+        awaiting_slot: false,
+        next_peer: (holder + 1) % PROXY_COUNT,
         declined: 0,
         promised: VecDeque::new(),
-        expires: None,
+        next_expiry_event: None,
     });
-    let requests = draw_requests(experiment);
+    let requests = generate_requests(experiment);
     let mut run = ShareRun {
         design,
         size,
@@ -271,15 +272,17 @@
 
     fn holder_of(&self, request: usize) -> usize {
         match self.design {
-            ShareDesign::Equal | ShareDesign::Lent => entry_of(self.requests[request].caller_index),
+            ShareDesign::Equal | ShareDesign::Lent => {
+                entry_proxy(self.requests[request].caller_index)
+            }
             ShareDesign::Owner => 0,
         }
     }
 
-    /// Time that the answer takes from the holder to the entry proxy.
-    fn way_back(&self, request: usize) -> Micros {
-        let entry = entry_of(self.requests[request].caller_index);
-        let forwarded = self.design == ShareDesign::Owner && entry != OWNER;
+    /// Returns the network delay between the holder and the entry proxy.
+    fn forwarding_delay(&self, request: usize) -> Micros {
+        let entry = entry_proxy(self.requests[request].caller_index);
+        let forwarded = self.design == ShareDesign::Owner && entry != OWNER_PROXY;
         if forwarded { self.size.hop } else { Micros::ZERO }
     }
 
@@ -292,41 +295,44 @@
             ShareEvent::Arrived { request } => {
                 let rank = self.rank_of(request);
                 self.outcome.ranks[rank].offered += u64::from(self.is_counted(request));
-                match self.way_back(request) {
+                match self.forwarding_delay(request) {
                     Micros::ZERO => self.enqueue(request),
                     _ => self.send(ShareEvent::Queued { request }),
                 }
             }
             ShareEvent::Queued { request } => self.enqueue(request),
-            ShareEvent::Opened { request } => self.pass_statement(request),
+            ShareEvent::Opened { request } => self.send_statement(request),
             ShareEvent::Finished { request } => self.finish(request),
             ShareEvent::Expire { holder } => {
-                if self.holders[holder].expires.is_some_and(|scheduled| scheduled <= self.now) {
-                    self.holders[holder].expires = None;
+                if self.holders[holder]
+                    .next_expiry_event
+                    .is_some_and(|scheduled| scheduled <= self.now)
+                {
+                    self.holders[holder].next_expiry_event = None;
                 }
-                self.pump(holder);
+                self.advance_holder(holder);
             }
-            ShareEvent::Ask { from, to, rank } => self.answer_ask(from, to, rank),
+            ShareEvent::SlotRequest { from, to, rank } => self.handle_slot_request(from, to, rank),
             ShareEvent::Lent { to } => {
                 let holder = &mut self.holders[to];
-                (holder.asking, holder.declined) = (false, 0);
+                (holder.awaiting_slot, holder.declined) = (false, 0);
                 self.set_slots(to, self.holders[to].slots + 1);
-                self.pump(to);
+                self.advance_holder(to);
             }
             ShareEvent::Declined { to } => {
                 let holder = &mut self.holders[to];
                 holder.declined += 1;
-                holder.next_peer = (holder.next_peer + 1) % PROXIES;
-                if holder.declined < PROXIES - 1 {
-                    holder.asking = false;
+                holder.next_peer = (holder.next_peer + 1) % PROXY_COUNT;
+                if holder.declined < PROXY_COUNT - 1 {
+                    holder.awaiting_slot = false;
                     self.borrow_slot(to);
                 } else {
                     holder.declined = 0;
-                    self.schedule(self.now + ASK_PAUSE, ShareEvent::AskAgain { holder: to });
+                    self.schedule(self.now + ASK_BACKOFF, ShareEvent::RetryRequest { holder: to });
                 }
             }
-            ShareEvent::AskAgain { holder } => {
-                self.holders[holder].asking = false;
+            ShareEvent::RetryRequest { holder } => {
+                self.holders[holder].awaiting_slot = false;
                 self.borrow_slot(holder);
             }
         }
@@ -341,7 +347,7 @@
             work: WorkId(request as u64),
             rank,
             caller: drawn.caller.clone(),
-            deadline: deadline.saturating_sub(self.way_back(request)),
+            deadline: deadline.saturating_sub(self.forwarding_delay(request)),
             selector: stream.selector.into(),
             in_transaction: false,
         };
@@ -349,11 +355,11 @@
         if holder.queue.enqueue(self.now, ticket).is_ok() {
             holder.waiting[rank] += 1;
         }
-        self.pump(index);
+        self.advance_holder(index);
     }
 
-    /// Grants free slots, drops what expired, and asks for a slot if work still waits.
-    fn pump(&mut self, index: usize) {
+    /// Grants free slots, removes expired requests, and asks for a slot if requests still wait.
+    fn advance_holder(&mut self, index: usize) {
         loop {
             while let Some(grant) = self.holders[index].queue.grant(self.now) {
                 let request = grant.work.0 as usize;
@@ -362,7 +368,7 @@
                 holder.running += 1;
                 if holder.idle > 0 {
                     holder.idle -= 1;
-                    self.pass_statement(request);
+                    self.send_statement(request);
                 } else {
                     holder.connections += 1;
                     self.connections += 1;
@@ -383,8 +389,8 @@
         if let Some(at) = self.holders[index].queue.next_expiry() {
             let at = at.max(self.now);
             let holder = &mut self.holders[index];
-            if holder.expires.is_none_or(|scheduled| at < scheduled) {
-                holder.expires = Some(at);
+            if holder.next_expiry_event.is_none_or(|scheduled| at < scheduled) {
+                holder.next_expiry_event = Some(at);
                 self.schedule(at, ShareEvent::Expire { holder: index });
             }
         }
@@ -393,8 +399,8 @@
         }
     }
 
-    /// Passes a statement to the database.
-    fn pass_statement(&mut self, request: usize) {
+    /// Sends a statement to the database.
+    fn send_statement(&mut self, request: usize) {
         self.sent += 1;
         self.outcome.slots_highest = self.outcome.slots_highest.max(self.sent);
         if self.executing < self.size.slots {
@@ -417,14 +423,14 @@
         if let Some(next) = self.backlog.pop_front() {
             self.execute(next);
         }
-        let way_back = self.way_back(request);
-        self.messages += u64::from(way_back > Micros::ZERO);
+        let forwarding_delay = self.forwarding_delay(request);
+        self.messages += u64::from(forwarding_delay > Micros::ZERO);
         if self.is_counted(request) {
             let drawn = &self.requests[request];
             let deadline = drawn.arrives + self.experiment.streams[drawn.stream].deadline;
             let rank = self.rank_of(request);
             let rank = &mut self.outcome.ranks[rank];
-            rank.in_time += u64::from(self.now + way_back <= deadline);
+            rank.in_time += u64::from(self.now + forwarding_delay <= deadline);
             rank.waits.push(self.waits[request]);
             if self.now <= self.end {
                 rank.share += drawn.service.0 as f64;
@@ -441,7 +447,7 @@
                 false => self.send(ShareEvent::Declined { to }),
             }
         }
-        self.pump(index);
+        self.advance_holder(index);
     }
 
     fn set_slots(&mut self, index: usize, slots: u32) {
@@ -449,33 +455,33 @@
         self.holders[index].queue.reconfigure(queue_config(slots));
     }
 
-    /// Most urgent rank with waiting work.
+    /// Returns the most urgent rank with waiting requests.
     fn waiting_rank(&self, index: usize) -> Option<Rank> {
         Rank::ALL.into_iter().find(|rank| self.holders[index].waiting[*rank] > 0)
     }
 
-    /// Asks the next proxy for a slot, if work waits and none is free.
+    /// Asks the next proxy for a slot, if requests wait and no slot is free.
     fn borrow_slot(&mut self, index: usize) {
         let holder = &self.holders[index];
-        if holder.asking || holder.running < holder.slots {
+        if holder.awaiting_slot || holder.running < holder.slots {
             return;
         }
         let Some(rank) = self.waiting_rank(index) else { return };
         let holder = &mut self.holders[index];
         if holder.next_peer == index {
-            holder.next_peer = (index + 1) % PROXIES;
+            holder.next_peer = (index + 1) % PROXY_COUNT;
         }
-        holder.asking = true;
+        holder.awaiting_slot = true;
         let to = holder.next_peer;
-        self.send(ShareEvent::Ask { from: index, to, rank });
+        self.send(ShareEvent::SlotRequest { from: index, to, rank });
     }
 
-    /// A holder lends a slot unless it has work as urgent as the one who asks.
+    /// Tells whether a holder may lend a slot: only if no request as urgent as `rank` waits there.
     fn may_lend(&self, index: usize, rank: Rank) -> bool {
         self.waiting_rank(index).is_none_or(|own| own > rank)
     }
 
-    fn answer_ask(&mut self, from: usize, to: usize, rank: Rank) {
+    fn handle_slot_request(&mut self, from: usize, to: usize, rank: Rank) {
         let holder = &self.holders[to];
         let left = holder.slots as usize > holder.promised.len();
         if !left || !self.may_lend(to, rank) {
@@ -487,11 +493,11 @@
         }
     }
 
-    /// Passes a free slot on, and closes the connections that belong to it. Each proxy keeps one
-    /// connection; the others are divided among the slots.
+    /// Lends a free slot, and closes the connections that belong to it. Each proxy keeps one
+    /// connection; the remaining connections are divided among the slots.
     fn lend(&mut self, index: usize, to: usize) {
         self.set_slots(index, self.holders[index].slots - 1);
-        let each = (self.size.connections - PROXIES as u32) / self.size.slots;
+        let each = (self.size.connections - PROXY_COUNT as u32) / self.size.slots;
         let holder = &mut self.holders[index];
         let limit = 1 + each * holder.slots;
         let closed = holder.connections.saturating_sub(limit).min(holder.idle);
@@ -502,8 +508,8 @@
     }
 }
 
-/// Load of the experiments: normal, a flood of batch work and a flood of urgent work, each of the
-/// floods three times what the slots can serve.
+/// Returns the loads of the experiments: normal, an overload of batch requests and an overload of urgent
+/// requests. Each overload is three times what the slots can serve.
 pub fn loads() -> [(&'static str, LoadMix); 3] {
     [
         ("normal", NORMAL),
@@ -512,13 +518,13 @@
     ]
 }
 
-/// Returns one line for each load, size, design and rank, and one for each run.
+/// Renders a line for each load, size, design and rank, and one for each run.
 pub fn render_table(seed: u64) -> String {
     let mut table = String::from(
         "load       slots design rank         offered in time  share  p50 wait  p99 wait\n",
     );
     for (name, mix) in loads() {
-        for size in SIZES {
+        for size in SHARE_SIZES {
             let experiment = steady(size.slots, mix, seed);
             for design in ShareDesign::ALL {
                 let outcome = run_shared(&experiment, size, design);
--- a/crates/bench/tests/rank.rs
+++ b/crates/bench/tests/rank.rs
@@ -1,22 +1,22 @@
-//! Gates on the service of the ranks under overload, each against a plain queue in the same run.
+//! Bounds on the service of the ranks under overload, each compared with a plain queue in the same run.
 
 use bench::rank::{
-    FLOORS, LoadMix, NORMAL, QueueKind, SLOT_COUNTS, floods, passing_flood, render_table,
-    run_experiment, steady,
+    LoadMix, MIN_SHARES, NORMAL, QueueKind, SLOT_COUNTS, experiment_loads, render_table,
+    run_experiment, steady, temporary_overload,
 };
 use model::Rank;
 
 const SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
 
-// Guards against a change of any figure that goes unnoticed.
+// Guards against an unnoticed change of any figure.
 #[test]
-fn table_of_all_floods() {
+fn table_of_all_loads() {
     insta::assert_snapshot!(render_table(1));
 }
 
-// Guards against batch work that delays urgent work.
+// Guards against batch requests that delay urgent requests.
 #[test]
-fn urgent_work_meets_its_deadline_in_a_batch_flood() {
+fn urgent_requests_meet_their_deadline_in_a_batch_overload() {
     for (slots, seed) in SLOT_COUNTS.into_iter().flat_map(|slots| SEEDS.map(|seed| (slots, seed))) {
         for batch in [3.0, 10.0] {
             let experiment = steady(slots, LoadMix { urgent: 0.6, batch, ..NORMAL }, seed);
@@ -30,9 +30,9 @@
     }
 }
 
-// Guards against urgent work that takes the minimum shares of the other ranks.
+// Guards against urgent requests that use the minimum shares of the other ranks.
 #[test]
-fn other_ranks_keep_their_floor_in_an_urgent_flood() {
+fn other_ranks_keep_their_minimum_share_in_an_urgent_overload() {
     for (slots, seed) in SLOT_COUNTS.into_iter().flat_map(|slots| SEEDS.map(|seed| (slots, seed))) {
         for urgent in [3.0, 10.0] {
             let mix = LoadMix { urgent, interactive: 0.3, batch: 0.3, reports: 0.05 };
@@ -40,10 +40,14 @@
             let ranked = run_experiment(&experiment, QueueKind::Ranked);
             let plain = run_experiment(&experiment, QueueKind::Plain);
             for rank in [Rank::Interactive, Rank::Batch] {
-                let (share, floor) = (ranked.ranks[rank].share, f64::from(FLOORS[rank]) / 100.0);
-                // One quantum: the longest reports take 1 to 2 s, of 50 s in each slot.
+                let (share, min_share) =
+                    (ranked.ranks[rank].share, f64::from(MIN_SHARES[rank]) / 100.0);
+                // One quantum: the longest reports take 1 to 2 s of the 50 s of each slot.
                 let quantum = 2.0 / (50.0 * f64::from(slots));
-                assert!(share >= floor - quantum, "{slots} slots, seed {seed}, {rank}: {share}");
+                assert!(
+                    share >= min_share - quantum,
+                    "{slots} slots, seed {seed}, {rank}: {share}"
+                );
                 let late = plain.ranks[rank].in_time_share();
                 assert!(ranked.ranks[rank].in_time_share() > late, "{rank}: plain {late}");
             }
@@ -51,11 +55,11 @@
     }
 }
 
-// Guards against idle slots while work waits, and against slot time spent on answers that are too
-// late. Floods of at least three times the capacity leave at most 5% of the slot time without use.
+// Guards against idle slots while requests wait, and against slot time spent on answers that are too
+// late. In overloads of at least three times the capacity, at most 5% of the slot time is unused.
 #[test]
-fn slots_stay_busy_and_useful_in_every_flood() {
-    for (name, mix) in floods() {
+fn slots_stay_busy_and_useful_under_every_load() {
+    for (name, mix) in experiment_loads() {
         for slots in SLOT_COUNTS {
             let ranked = run_experiment(&steady(slots, mix, 1), QueueKind::Ranked);
             let plain = run_experiment(&steady(slots, mix, 1), QueueKind::Plain);
@@ -70,14 +74,14 @@
     }
 }
 
-// Guards against a backlog that outlives its flood: requests that arrive later than one deadline after
-// its end are served as well as without a flood.
+// Guards against a backlog that remains after an overload: requests that arrive later than one deadline
+// after its end are served as well as without an overload.
 #[test]
 fn queue_recovers_within_one_deadline() {
     let none = LoadMix { urgent: 0.0, interactive: 0.0, batch: 0.0, reports: 0.0 };
     for (slots, seed) in SLOT_COUNTS.into_iter().flat_map(|slots| SEEDS.map(|seed| (slots, seed))) {
-        for flood in [LoadMix { urgent: 10.0, ..none }, LoadMix { batch: 10.0, ..none }] {
-            let experiment = passing_flood(slots, flood, seed);
+        for overload in [LoadMix { urgent: 10.0, ..none }, LoadMix { batch: 10.0, ..none }] {
+            let experiment = temporary_overload(slots, overload, seed);
             let ranked = run_experiment(&experiment, QueueKind::Ranked);
             let plain = run_experiment(&experiment, QueueKind::Plain);
             for rank in Rank::ALL {
--- a/crates/bench/tests/share.rs
+++ b/crates/bench/tests/share.rs
@@ -1,7 +1,9 @@
-//! Gates on the sharing of one database by nine proxies: the pool owner against both alternatives.
+//! Bounds on the sharing of one database by nine proxies: the pool owner against both alternatives.
 
-use bench::rank::{FLOORS, LoadMix, NORMAL, RankExperiment, steady};
-use bench::share::{SIZES, ShareDesign, ShareOutcome, ShareSize, loads, render_table, run_shared};
+use bench::rank::{LoadMix, MIN_SHARES, NORMAL, RankExperiment, steady};
+use bench::share::{
+    SHARE_SIZES, ShareDesign, ShareOutcome, ShareSize, loads, render_table, run_shared,
+};
 use model::Rank;
 
 const SEEDS: [u64; 3] = [1, 2, 3];
@@ -10,17 +12,17 @@
     run_shared(experiment, size, design).ranks[Rank::Urgent].in_time_share()
 }
 
-// Guards against a change of any figure that goes unnoticed.
+// Guards against an unnoticed change of any figure.
 #[test]
 fn table_of_all_designs() {
     insta::assert_snapshot!(render_table(1));
 }
 
-// Guards against an owner that serves urgent work within capacity worse than its aim or than another
-// design would.
+// Guards against an owner that, within capacity, serves urgent requests worse than its target or than
+// another design.
 #[test]
-fn owner_serves_urgent_work_best_within_capacity() {
-    for size in SIZES {
+fn owner_serves_urgent_requests_best_within_capacity() {
+    for size in SHARE_SIZES {
         for seed in SEEDS {
             for mix in [NORMAL, LoadMix { batch: 3.0, ..NORMAL }] {
                 let experiment = steady(size.slots, mix, seed);
@@ -42,11 +44,11 @@
     assert!(connections <= size.connections, "{what}: {connections} connections");
 }
 
-// Guards against an owner that passes the database's limits, leaves slots idle while work waits, or
-// lets a rank fall below its floor.
+// Guards against an owner that exceeds the limits of the database, leaves slots idle while requests
+// wait, or lets a rank fall below its minimum share.
 #[test]
-fn owner_keeps_limits_and_floors_and_uses_all_slots() {
-    for size in SIZES {
+fn owner_respects_limits_and_minimum_shares_and_uses_all_slots() {
+    for size in SHARE_SIZES {
         for seed in SEEDS {
             for (name, mix) in loads() {
                 let experiment = steady(size.slots, mix, seed);
@@ -56,10 +58,11 @@
                 assert!(outcome.busy >= 0.95, "{what}: busy {}", outcome.busy);
                 if name == "urgent x3" {
                     for rank in [Rank::Interactive, Rank::Batch] {
-                        let (share, floor) = (outcome.ranks[rank].share, f64::from(FLOORS[rank]));
-                        // One quantum: the longest reports take 1 to 2 s, of 50 s in each slot.
+                        let (share, min_share) =
+                            (outcome.ranks[rank].share, f64::from(MIN_SHARES[rank]));
+                        // One quantum: the longest reports take 1 to 2 s of the 50 s of each slot.
                         let quantum = 2.0 / (50.0 * f64::from(size.slots));
-                        assert!(share >= floor / 100.0 - quantum, "{what}, {rank}: {share}");
+                        assert!(share >= min_share / 100.0 - quantum, "{what}, {rank}: {share}");
                     }
                 }
             }
@@ -67,11 +70,11 @@
     }
 }
 
-// Guards against an experiment that cannot tell the designs apart: equal shares pass the slots of the
-// database, and lent shares keep the limits.
+// Guards against an experiment that cannot distinguish the designs: equal shares exceed the slots of
+// the database, and lent slots respect the limits.
 #[test]
 fn alternatives_behave_as_described() {
-    for size in SIZES {
+    for size in SHARE_SIZES {
         let experiment = steady(size.slots, LoadMix { batch: 3.0, ..NORMAL }, 1);
         let equal = run_shared(&experiment, size, ShareDesign::Equal);
         assert!(equal.slots_highest > size.slots, "{} slots", size.slots);
