--- a/crates/fake/tests/common/mod.rs
+++ b/crates/fake/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Helpers of the tests.
+//! Helpers for the tests.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use postgres::{Client, NoTls, SimpleQueryMessage};
 
-/// Polls until a condition holds; panics after 10 s.
+/// Polls until a condition is true; panics after 10 s.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(10);
     while !holds() {
--- a/crates/fake/tests/fakedb_sql.rs
+++ b/crates/fake/tests/fakedb_sql.rs
@@ -62,7 +62,7 @@
     assert_eq!(code(&error), "42P01");
 }
 
-/// Guards against large results that are truncated, also when fetched in portions.
+/// Guards against large results that are truncated, including those fetched in portions.
 #[test]
 fn large_results() {
     let group = start(1);
@@ -76,8 +76,8 @@
     assert_eq!(transaction.query_portal(&portal, 0).unwrap().len(), 6);
 }
 
-/// Guards against mixed transactions: uncommitted rows stay invisible, a failed transaction does
-/// nothing more, a script is one transaction.
+/// Guards against transactions that are not isolated or atomic: uncommitted rows are invisible, a failed
+/// transaction executes nothing more, and a script is one transaction.
 #[test]
 fn transactions_isolate() {
     let group = start(1);
@@ -107,8 +107,8 @@
     assert_eq!(first(&mut reader, "SELECT count(*) FROM t").unwrap(), "2");
 }
 
-/// Guards against lost updates: a second writer of a row waits and adds to the committed value; the
-/// loss of the first connection rolls back and frees its locks.
+/// Guards against lost updates. A second writer of a row waits and then adds to the committed value;
+/// closing the first connection rolls its transaction back and releases its locks.
 #[test]
 fn row_locks() {
     let group = start(1);
@@ -145,10 +145,10 @@
     assert_eq!(first(&mut connect(address), "SELECT v FROM t WHERE id = 3").unwrap(), "5");
 }
 
-/// Guards against transactions that see or overwrite half of another one: concurrent transfers keep
-/// the sum, which readers see unchanged at all times.
+/// Guards against transactions that read or overwrite a part of another one: concurrent transfers keep
+/// the sum, and readers always see it unchanged.
 #[test]
-fn transfers_keep_the_sum() {
+fn concurrent_transfers_keep_the_sum() {
     let group = start(2);
     let address = group.addresses()[0];
     let mut client = connect(address);
@@ -191,7 +191,7 @@
     assert_eq!(first(&mut client, "SELECT sum(v) FROM t").unwrap(), "400");
 }
 
-/// Guards against transactions that wait for each other for ever.
+/// Guards against transactions that wait for each other forever.
 #[test]
 fn deadlock_is_reported() {
     let group = start(1);
@@ -216,7 +216,7 @@
     assert_eq!(deadlocks, 1, "{results:?}");
 }
 
-/// Guards against a database that serves more connections or statements than its limits.
+/// Guards against a database that accepts more connections or statements than its limits allow.
 #[test]
 fn connection_and_slot_limits() {
     let group = start(1);
@@ -248,7 +248,7 @@
     assert!(start.elapsed() < Duration::from_millis(300));
 }
 
-/// Guards against cancel requests that are lost or that leave a slot taken.
+/// Guards against cancel requests that are lost or that leave a slot busy.
 #[test]
 fn cancel_ends_a_statement() {
     let group = start(1);
@@ -266,7 +266,7 @@
     assert_eq!(group.counters("db-1").unwrap().slots_busy, 0);
 }
 
-/// Guards against a stand-in that is too slow to measure the proxy's added latency with.
+/// Guards against a fake that is too slow for measuring the latency that a proxy adds.
 #[test]
 fn trivial_select_is_fast() {
     let group = start(1);
@@ -280,6 +280,6 @@
         .collect();
     times.sort();
     println!("trivial select: p50 {:?}, p99 {:?}", times[1000], times[1980]);
-    // The client library and a busy machine are part of this time, so the bound is generous.
+    // The time includes the client library and is longer on a busy machine, hence the wide bound.
     assert!(times[1000] < Duration::from_millis(2), "p50 {:?}", times[1000]);
 }
--- a/crates/fake/tests/fakedb_terms.rs
+++ b/crates/fake/tests/fakedb_terms.rs
@@ -22,7 +22,8 @@
     first(&mut connect(group.address(name).unwrap()), "SELECT count(*) FROM t").ok()
 }
 
-/// Guards against replicas that apply early, refuse reads, accept writes or report wrong positions.
+/// Guards against replicas that apply entries early, refuse reads, accept writes or report wrong
+/// positions.
 #[test]
 fn writes_replicate_with_lag() {
     let group = start();
@@ -68,8 +69,8 @@
     wait_until("db-2 caught up", || group.report("db-2").unwrap().applied == next);
 }
 
-/// Guards against a group that hides a divergent old primary: it must accept commits of its old term
-/// while it is cut off, and discard them when it follows the new one.
+/// Guards against an old primary that cannot diverge. While cut off, it must accept commits of its old
+/// term, and it must discard them when it follows the new primary.
 #[test]
 fn divergent_primary_is_fenced_and_follows() {
     let group = start();
@@ -105,7 +106,7 @@
     assert_eq!(report.previous_term, 1);
     wait_until("db-3 follows", || group.report("db-3").unwrap().received == report.received);
 
-    // The old primary comes back and still believes that it leads.
+    // The old primary is reconnected and still believes that it leads.
     group.join("db-1").unwrap();
     old.batch_execute("INSERT INTO t VALUES (4, 4)").unwrap();
     assert_eq!(group.report("db-1").unwrap().role, DatabaseRole::Primary);
@@ -131,7 +132,7 @@
     assert_eq!(content.rows.len(), 2);
 }
 
-/// Guards against a restart that forgets the term, the fence or committed data, or that keeps open
+/// Guards against a restart that loses the term, the fence or committed data, or that keeps open
 /// transactions.
 #[test]
 fn restart_keeps_the_persistent_state() {
@@ -161,9 +162,9 @@
     client.batch_execute("INSERT INTO t VALUES (3, 3)").unwrap();
 }
 
-/// Guards against a freeze that refuses connections, answers, or loses the waiting statement.
+/// Guards against a frozen database that refuses connections, answers, or loses a waiting statement.
 #[test]
-fn freeze_answers_nothing() {
+fn frozen_database_does_not_answer() {
     let group = start();
     let address = group.addresses()[0];
     let mut client = connect(address);
@@ -182,9 +183,9 @@
     assert_eq!(first(&mut client, "SELECT count(*) FROM t").unwrap(), "1");
 }
 
-/// Guards against a control port that does not do what the library calls do.
+/// Guards against a control port whose effects differ from those of the library calls.
 #[test]
-fn control_port() {
+fn control_port_matches_the_library_calls() {
     let group = start();
     let url = format!("http://{}", group.control_address());
     let post = |path: &str, body: &str| {
--- a/crates/fake/tests/platform_and_links.rs
+++ b/crates/fake/tests/platform_and_links.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol and faults, the relay's faults, and a load run through both.
+//! Protocol and faults of the fake platform, faults of the relay, and checks of the load generator.
 
 #![allow(clippy::unwrap_used)] // Helpers of tests fail like the tests.
 
@@ -15,18 +15,18 @@
 use fake::faultproxy::{Direction, FaultProxy};
 use fake::loadgen::{LoadKind, LoadMix, LoadOptions, run};
 
-struct Caller {
+struct HttpClient {
     agent: ureq::Agent,
     url: String,
 }
 
-impl Caller {
+impl HttpClient {
     fn new(address: SocketAddr) -> Self {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(Duration::from_secs(20)))
             .build();
-        Caller { agent: config.into(), url: format!("http://{address}/v1") }
+        HttpClient { agent: config.into(), url: format!("http://{address}/v1") }
     }
 
     fn get(&self, path: &str) -> Result<(u16, u64, serde_json::Value), ureq::Error> {
@@ -44,92 +44,92 @@
     }
 }
 
-/// Guards against two writers that both win, and against values that change on the way.
+/// Guards against two writers that both succeed, and against values that are altered in transfer.
 #[test]
 fn compare_and_swap() {
     let platform = FakePlatform::start(0).unwrap();
-    let caller = Caller::new(platform.address());
-    assert_eq!(caller.get("/kv/a/b").unwrap().0, 404);
-    assert_eq!(caller.put("/kv/a/b?cas=0", b"one").unwrap(), (200, "true".into()));
-    assert_eq!(caller.put("/kv/a/b?cas=0", b"two").unwrap(), (200, "false".into()));
-    let (status, index, body) = caller.get("/kv/a/b").unwrap();
+    let client = HttpClient::new(platform.address());
+    assert_eq!(client.get("/kv/a/b").unwrap().0, 404);
+    assert_eq!(client.put("/kv/a/b?cas=0", b"one").unwrap(), (200, "true".into()));
+    assert_eq!(client.put("/kv/a/b?cas=0", b"two").unwrap(), (200, "false".into()));
+    let (status, index, body) = client.get("/kv/a/b").unwrap();
     assert_eq!((status, body[0]["ModifyIndex"].as_u64()), (200, Some(index)));
     assert_eq!(body[0]["Value"], "b25l");
     let path = format!("/kv/a/b?cas={index}");
-    assert_eq!(caller.put(&path, b"two").unwrap().1, "true");
-    assert_eq!(caller.put(&path, b"three").unwrap().1, "false");
+    assert_eq!(client.put(&path, b"two").unwrap().1, "true");
+    assert_eq!(client.put(&path, b"three").unwrap().1, "false");
     assert_eq!(platform.value("a/b").unwrap().0, b"two");
     let largest = vec![7; MAX_VALUE_BYTES];
-    assert_eq!(caller.put("/kv/large", &largest).unwrap().0, 200);
-    let body = caller.get("/kv/large").unwrap().2;
+    assert_eq!(client.put("/kv/large", &largest).unwrap().0, 200);
+    let body = client.get("/kv/large").unwrap().2;
     let value = base64::engine::general_purpose::STANDARD
         .decode(body[0]["Value"].as_str().unwrap())
         .unwrap();
     assert!(value == largest);
-    assert_eq!(caller.put("/kv/large", &vec![7; MAX_VALUE_BYTES + 1]).unwrap().0, 413);
+    assert_eq!(client.put("/kv/large", &vec![7; MAX_VALUE_BYTES + 1]).unwrap().0, 413);
     let counters = platform.counters();
     assert_eq!((counters.put_cas, counters.put, counters.get), (4, 1, 3));
 }
 
-/// Guards against watches that miss a change, return without one, or count more than once.
+/// Guards against blocking queries that miss a change, return without one, or count more than once.
 #[test]
 fn blocking_query() {
     let platform = FakePlatform::start(0).unwrap();
-    let caller = Caller::new(platform.address());
-    let index = caller.get("/kv/key").unwrap().1;
+    let client = HttpClient::new(platform.address());
+    let index = client.get("/kv/key").unwrap().1;
     assert!(index > 0);
     let address = platform.address();
     let watch = std::thread::spawn(move || {
-        Caller::new(address).get(&format!("/kv/key?index={index}&wait=15s")).unwrap()
+        HttpClient::new(address).get(&format!("/kv/key?index={index}&wait=15s")).unwrap()
     });
     wait_until("the watch waits", || platform.counters().watch == 1);
-    caller.put("/kv/other", b"x").unwrap();
-    caller.put("/kv/key", b"x").unwrap();
+    client.put("/kv/other", b"x").unwrap();
+    client.put("/kv/key", b"x").unwrap();
     let (status, next, body) = watch.join().unwrap();
     assert_eq!((status, body[0]["Value"].as_str()), (200, Some("eA==")));
     let start = Instant::now();
-    let (_, same, _) = caller.get(&format!("/kv/key?index={next}&wait=50ms")).unwrap();
+    let (_, same, _) = client.get(&format!("/kv/key?index={next}&wait=50ms")).unwrap();
     assert!(same == next && start.elapsed() >= Duration::from_millis(50));
     assert_eq!(platform.counters().watch, 2);
 }
 
-/// Guards against locks that two sessions hold, or that outlive their session.
+/// Guards against locks that two sessions hold at once, or that remain after their session ended.
 #[test]
 fn sessions_hold_locks() {
     let platform = FakePlatform::start(0).unwrap();
-    let caller = Caller::new(platform.address());
+    let client = HttpClient::new(platform.address());
     let create = || {
-        let (status, text) = caller.put("/session/create", br#"{"TTL": "10s"}"#).unwrap();
+        let (status, text) = client.put("/session/create", br#"{"TTL": "10s"}"#).unwrap();
         assert_eq!(status, 200);
         let body: serde_json::Value = serde_json::from_str(&text).unwrap();
         body["ID"].as_str().unwrap().to_string()
     };
     let (left, right) = (create(), create());
-    assert_eq!(caller.put(&format!("/kv/lock?acquire={left}"), b"l").unwrap().1, "true");
-    assert_eq!(caller.put(&format!("/kv/lock?acquire={right}"), b"r").unwrap().1, "false");
-    assert_eq!(caller.get("/kv/lock").unwrap().2[0]["Session"].as_str(), Some(left.as_str()));
-    assert_eq!(caller.put(&format!("/session/renew/{left}"), b"").unwrap().0, 200);
-    assert_eq!(caller.put(&format!("/session/destroy/{left}"), b"").unwrap().0, 200);
-    assert_eq!(caller.put(&format!("/session/renew/{left}"), b"").unwrap().0, 404);
-    assert_eq!(caller.put(&format!("/kv/lock?acquire={right}"), b"r").unwrap().1, "true");
-    assert_eq!(caller.put(&format!("/kv/lock?release={right}"), b"r").unwrap().1, "true");
-    assert_eq!(caller.put("/session/create", br#"{"TTL": "1s"}"#).unwrap().0, 400);
+    assert_eq!(client.put(&format!("/kv/lock?acquire={left}"), b"l").unwrap().1, "true");
+    assert_eq!(client.put(&format!("/kv/lock?acquire={right}"), b"r").unwrap().1, "false");
+    assert_eq!(client.get("/kv/lock").unwrap().2[0]["Session"].as_str(), Some(left.as_str()));
+    assert_eq!(client.put(&format!("/session/renew/{left}"), b"").unwrap().0, 200);
+    assert_eq!(client.put(&format!("/session/destroy/{left}"), b"").unwrap().0, 200);
+    assert_eq!(client.put(&format!("/session/renew/{left}"), b"").unwrap().0, 404);
+    assert_eq!(client.put(&format!("/kv/lock?acquire={right}"), b"r").unwrap().1, "true");
+    assert_eq!(client.put(&format!("/kv/lock?release={right}"), b"r").unwrap().1, "true");
+    assert_eq!(client.put("/session/create", br#"{"TTL": "1s"}"#).unwrap().0, 400);
 }
 
-/// Guards against faults that do not look like the real ones: a lost answer whose change took
+/// Guards against injected faults that differ from the real ones: a lost answer whose change took
 /// effect, refused connections, calls that hang.
 #[test]
 fn platform_faults() {
     let platform = FakePlatform::start(0).unwrap();
-    let caller = Caller::new(platform.address());
+    let client = HttpClient::new(platform.address());
     platform.lose_next(1);
-    assert!(caller.put("/kv/key?cas=0", b"x").is_err());
+    assert!(client.put("/kv/key?cas=0", b"x").is_err());
     assert_eq!(platform.value("key").unwrap().0, b"x");
-    assert_eq!(caller.put("/kv/key?cas=0", b"x").unwrap().1, "false");
+    assert_eq!(client.put("/kv/key?cas=0", b"x").unwrap().1, "false");
     assert_eq!(platform.counters().lost, 1);
 
     platform.set_outage(OutageMode::Refuse).unwrap();
-    assert!(caller.get("/kv/key").is_err());
+    assert!(client.get("/kv/key").is_err());
     assert!(TcpStream::connect(platform.address()).is_err());
     platform.set_outage(OutageMode::Hang).unwrap();
     let mut stream = TcpStream::connect(platform.address()).unwrap();
@@ -141,7 +141,7 @@
     assert_eq!(stream.read(&mut [0]).unwrap(), 1);
     platform.set_slow(Duration::from_millis(40));
     let start = Instant::now();
-    assert_eq!(caller.get("/kv/key").unwrap().0, 200);
+    assert_eq!(client.get("/kv/key").unwrap().0, 200);
     assert!(start.elapsed() >= Duration::from_millis(40));
 
     // The same seed loses the same answers.
@@ -149,18 +149,18 @@
     let mut lost = Vec::new();
     for _ in 0..2 {
         platform.lose_share(0.5, 7);
-        let results = (0..20).map(|_| caller.put("/kv/share", b"x").is_err());
+        let results = (0..20).map(|_| client.put("/kv/share", b"x").is_err());
         lost.push(results.collect::<Vec<bool>>());
     }
     assert_eq!(lost[0], lost[1]);
     assert!(lost[0].contains(&true) && lost[0].contains(&false));
 }
 
-/// Guards against a list of VMs that shows changes at once, or without the fields that nodes need.
+/// Guards against a list of VMs that shows changes without the lag, or lacks fields that nodes need.
 #[test]
-fn list_of_vms_lags() {
+fn vm_list_lags() {
     let platform = FakePlatform::start(0).unwrap();
-    let caller = Caller::new(platform.address());
+    let client = HttpClient::new(platform.address());
     platform.put_vm(FakeVm {
         name: "vm-1".into(),
         data_centre: "dc-1".into(),
@@ -168,7 +168,7 @@
         admin_port: 7001,
         leaving: false,
     });
-    let (_, index, body) = caller.get("/health/service/cicadawick").unwrap();
+    let (_, index, body) = client.get("/health/service/cicadawick").unwrap();
     assert_eq!(body[0]["Node"]["Node"], "vm-1");
     assert_eq!(body[0]["Node"]["Datacenter"], "dc-1");
     assert_eq!(
@@ -180,7 +180,7 @@
     let start = Instant::now();
     platform.mark_leaving("vm-1").unwrap();
     let watch = format!("/health/service/cicadawick?index={index}&wait=15s");
-    let (_, index, body) = caller.get(&watch).unwrap();
+    let (_, index, body) = client.get(&watch).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(60));
     let checks = body[0]["Checks"].as_array().unwrap();
     assert!(
@@ -190,11 +190,11 @@
     );
     platform.remove_vm("vm-1");
     let watch = format!("/health/service/cicadawick?index={index}&wait=15s");
-    assert_eq!(caller.get(&watch).unwrap().2, serde_json::json!([]));
+    assert_eq!(client.get(&watch).unwrap().2, serde_json::json!([]));
     assert_eq!(platform.counters().watch_list, 2);
 }
 
-/// Guards against a stand-in that the project's own client does not understand.
+/// Guards against a fake that is incompatible with the client of crate `platform`.
 #[test]
 fn project_client_understands_the_platform() {
     let platform = FakePlatform::start(0).unwrap();
@@ -228,7 +228,7 @@
     assert_eq!(seen, [("vm-1", 7000, 7001, false), ("vm-2", 8000, 8001, true)]);
 }
 
-/// A server that answers each byte with the same byte.
+/// Starts a server that sends each byte back.
 fn start_echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -250,8 +250,8 @@
     stream
 }
 
-/// Guards against faults that pass bytes they should not, lose bytes they should not, or close what
-/// should stay open.
+/// Guards against faults that relay bytes which they should discard, lose other bytes, or close
+/// connections that should stay open.
 #[test]
 fn relay_faults() {
     let echo = start_echo();
@@ -278,7 +278,7 @@
     stream.read_exact(&mut buffer[..1]).unwrap();
     assert_eq!(buffer[0], b'e');
 
-    // Bytes that vanished stay away, and nothing follows them on the same connection.
+    // Discarded bytes are never delivered, and nothing follows them on the same connection.
     proxy.set_cut("echo", false, true).unwrap();
     let sent = proxy.counters("echo").unwrap().bytes_to_upstream;
     stream.write_all(b"f").unwrap();
@@ -312,8 +312,8 @@
     stream.read_exact(&mut buffer[..1]).unwrap();
 }
 
-/// Guards against checks that fail on a correct server: a clean run is clean, and a lost answer is
-/// an unknown outcome.
+/// Guards against checks that fail on a correct server, and against a lost answer that is not counted
+/// as an unknown outcome.
 #[test]
 fn load_checks() {
     let mut options = GroupOptions::new("db", 2);
@@ -341,7 +341,7 @@
     let tokens = group.table("tokens").unwrap().rows.len() as u64;
     assert_eq!(tokens, checks.tokens_acknowledged);
 
-    // The delay of the link shows as a ratio to the database itself.
+    // The delay of the link appears as a ratio to the database itself.
     proxy.set_delay("db", Duration::from_millis(5), Duration::ZERO).unwrap();
     load.baseline_address = Some(group.addresses()[0]);
     let report = run(&load).unwrap();
@@ -351,27 +351,27 @@
     load.baseline_address = None;
     let tokens = group.table("tokens").unwrap().rows.len() as u64;
 
-    // Answers are lost after the database did the work.
+    // Answers are lost after the database executed the statement.
     load.mix = LoadMix(vec![(LoadKind::Token, 1)]);
     load.connections = 1;
     load.count = Some(20);
     load.max_age = None;
-    let limiter = std::thread::scope(|scope| {
+    let report = std::thread::scope(|scope| {
         let running = scope.spawn(|| run(&load).unwrap());
         wait_until("the load runs", || group.table("tokens").unwrap().rows.len() as u64 > tokens);
         proxy.limit_bytes("db", Direction::ToCaller, 3).unwrap();
         running.join().unwrap()
     });
-    let checks = limiter.checks.clone().unwrap();
-    assert!(checks.is_clean(), "{limiter}");
-    assert!(checks.tokens_unknown <= 1, "{limiter}");
-    assert_eq!(checks.tokens_acknowledged + checks.tokens_unknown, 20, "{limiter}");
+    let checks = report.checks.clone().unwrap();
+    assert!(checks.is_clean(), "{report}");
+    assert!(checks.tokens_unknown <= 1, "{report}");
+    assert_eq!(checks.tokens_acknowledged + checks.tokens_unknown, 20, "{report}");
 }
 
-/// Guards against checks that pass without looking: somebody else removes and repeats tokens and
-/// takes back the sessions' writes during the run.
+/// Guards against checks that always pass: during the run, another client deletes and duplicates tokens
+/// and reverts the writes of the sessions.
 #[test]
-fn load_checks_see_faults() {
+fn load_checks_detect_faults() {
     let mut options = GroupOptions::new("db", 1);
     options.open_time = Duration::ZERO;
     let group = DatabaseGroup::start(options).unwrap();
@@ -402,9 +402,9 @@
     assert!(checks.tokens_missing > 0 && checks.tokens_duplicated > 0, "{report}");
 }
 
-/// Guards against an age check that does not see old data.
+/// Guards against an age check that does not detect old data.
 #[test]
-fn age_check_sees_old_data() {
+fn age_check_detects_old_data() {
     let mut options = GroupOptions::new("db", 2);
     options.open_time = Duration::ZERO;
     options.apply_lag = Duration::from_millis(300);
@@ -424,7 +424,7 @@
     assert!(checks.age_reads > 0 && checks.is_clean(), "{report}");
 }
 
-/// Guards against binaries that do not print their addresses or that start with wrong arguments.
+/// Guards against binaries that do not print their addresses or that accept wrong arguments.
 #[test]
 fn binaries() {
     use std::io::{BufRead, BufReader};
