--- a/crates/bench/src/share.rs
+++ b/crates/bench/src/share.rs
@@ -5,7 +5,7 @@
 //!
 //! - **equal**: each proxy has a ninth of the slots and connections, and at least one of each;
 //! - **lent**: each slot belongs to one proxy at a time, with a part of the connections. A proxy without
-//!   a free slot asks the others in turn. One that has a free slot, or only less urgent work, lends it;
+//!   a free slot asks the others in turn. One that has a free slot, or only less urgent requests, lends a slot;
 //! - **owner**: one proxy has all slots and connections; the others forward their requests to it.
 //!
 //! Each holder of slots orders its requests with a [`SlotQueue`], so the designs differ only in which proxy
@@ -147,7 +147,7 @@
     events: BinaryHeap<Reverse<(Micros, u64, ShareEvent)>>,
     sequence: u64,
     now: Micros,
-    /// End of the arrivals; shares of slots are not measured after it.
+    /// End of the arrivals; the use of slots is not measured after it.
     end: Micros,
     /// Statements that wait in the database for a slot.
     backlog: VecDeque<usize>,
@@ -476,7 +476,8 @@
         self.send(ShareEvent::SlotRequest { from: index, to, rank });
     }
 
-    /// Tells whether a holder may lend a slot: only if no request as urgent as `rank` waits there.
+    /// Tells whether a holder may lend a slot: only if no request at least as urgent
+    /// as `rank` waits there.
     fn may_lend(&self, index: usize, rank: Rank) -> bool {
         self.waiting_rank(index).is_none_or(|own| own > rank)
     }
--- a/crates/bench/src/wire.rs
+++ b/crates/bench/src/wire.rs
@@ -31,9 +31,9 @@
 /// Bytes of one exchange beyond the encoded parameters and results, packet headers included.
 #[derive(Clone, Copy, Debug)]
 pub struct WireSizes {
-    /// Call and finish.
+    /// Call and finish messages.
     pub call: u64,
-    /// Return.
+    /// Return message.
     pub answer: u64,
     /// A report request and its answer on a database connection, in full.
     pub report_request: u64,
@@ -66,8 +66,8 @@
         let (report_request, report_answer) = measure_report(group.addresses()[0])?;
         Ok(WireSizes {
             call: call.saturating_sub(body),
-            // The finish and the report's answer are acknowledged by a packet of its own, because
-            // nothing follows within the time for which TCP delays an acknowledgement.
+            // The finish and the report's answer are acknowledged by separate packets, because no data
+            // follows within the time for which TCP delays an acknowledgement.
             answer: answer.saturating_sub(body) + PACKET_BYTES,
             report_request: report_request + PACKET_BYTES,
             report_answer,
@@ -76,7 +76,7 @@
 }
 
 /// Bytes and packets of one direction of a relay. Both ends write a message with one system call, and
-/// the relay reads it before the next one is written, so each read counts as one packet.
+/// the relay reads it before the next message is written, so each read counts as one packet.
 #[derive(Default)]
 struct RelayCount {
     bytes: AtomicU64,
--- a/crates/bench/tests/rank.rs
+++ b/crates/bench/tests/rank.rs
@@ -56,7 +56,8 @@
 }
 
 // Guards against idle slots while requests wait, and against slot time spent on answers that are too
-// late. In overloads of at least three times the capacity, at most 5% of the slot time is unused.
+// late. In overloads of at least three times the capacity, at most 5% of the slot time may be idle or
+// spent on late answers.
 #[test]
 fn slots_stay_busy_and_useful_under_every_load() {
     for (name, mix) in experiment_loads() {
