--- a/crates/fake/src/bin/fakedb.rs
+++ b/crates/fake/src/bin/fakedb.rs
@@ -40,6 +40,6 @@
     options.apply_lag = time(flags.apply_ms, options.apply_lag);
     let group = DatabaseGroup::start(options)?;
     let databases = group.names().iter().map(String::as_str).zip(group.addresses().iter().copied());
-    fake::announce(databases.chain([("control", group.control_address())]));
+    fake::print_addresses(databases.chain([("control", group.control_address())]));
     fake::wait_forever()
 }
--- a/crates/fake/src/bin/fakeplatform.rs
+++ b/crates/fake/src/bin/fakeplatform.rs
@@ -6,6 +6,6 @@
         optional --port port: u16
     };
     let platform = FakePlatform::start(flags.port.unwrap_or_default())?;
-    fake::announce([("", platform.address()), ("control", platform.control_address())]);
+    fake::print_addresses([("", platform.address()), ("control", platform.control_address())]);
     fake::wait_forever()
 }
--- a/crates/fake/src/bin/faultproxy.rs
+++ b/crates/fake/src/bin/faultproxy.rs
@@ -18,7 +18,7 @@
     let proxy = FaultProxy::start_on(&links, flags.control_port.unwrap_or_default())?;
     let addresses = proxy.addresses();
     let links = addresses.iter().map(|(name, address)| (name.as_str(), *address));
-    fake::announce(links.chain([("control", proxy.control_address())]));
+    fake::print_addresses(links.chain([("control", proxy.control_address())]));
     fake::wait_forever()
 }
 
--- a/crates/fake/src/fakedb/engine.rs
+++ b/crates/fake/src/fakedb/engine.rs
@@ -25,7 +25,7 @@
 pub(crate) use function::is_administration;
 
 /// Source of hidden row numbers and serial values. It is shared by the whole process, so that a new
-/// primary never repeats a number.
+/// primary never reuses a number.
 static NEXT_SERIAL: AtomicI64 = AtomicI64::new(1);
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/fake/src/fakedb/mod.rs
+++ b/crates/fake/src/fakedb/mod.rs
@@ -3,12 +3,13 @@
 //! One process holds N databases, each on its own port with its own tables, log, term, limits and
 //! counters. The primary appends committed transactions to its log; a thread per replica copies
 //! entries after the receive delay and applies them after the apply lag. Terms follow section 5 of
-//! the design page: a fence raises a database's term and ends what it did as primary of a lower
-//! one, a promotion opens the term with a log entry of its own, and a follower discards entries that
-//! its leader does not have.
+//! the design page: a fence raises a database's term and ends its transactions as primary of a lower
+//! term, a promotion opens the term with a log entry, and a follower discards entries that its leader
+//! does not have.
 //!
 //! A primary that was frozen or cut off still believes that it leads. It accepts commits of its old
-//! term until it is fenced or told to follow, so a proxy cannot rely on the role that it reports.
+//! term until it is fenced or told to follow, so a proxy needs proof of leadership beyond
+//! the reported role.
 //!
 //! Behaviour that clients may notice:
 //! - Statements wait in arrival order for a slot. A statement that waits for a row lock releases its
@@ -68,12 +69,12 @@
     }
 }
 
-/// What `cicadawick_report()` returns. Positions are bytes.
+/// Result of `cicadawick_report()`. Positions are in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DatabaseReport {
     pub term: u64,
     pub role: DatabaseRole,
-    /// Term of the last log entry. If it equals `term`, the log is the one of this term's primary.
+    /// Term of the last log entry. If it equals `term`, the log is that of the primary of this term.
     pub log_term: u64,
     pub received: u64,
     pub applied: u64,
@@ -309,7 +310,7 @@
         Ok(self.core.addresses[self.core.find(name)?])
     }
 
-    /// Ends a database's process: its connections are reset, its port is closed.
+    /// Simulates the end of a database's process: closes its connections and its port.
     pub fn kill(&self, name: &str) -> anyhow::Result<()> {
         self.core.kill(name)
     }
@@ -339,7 +340,7 @@
         self.core.update(name, |state| state.cut = false)
     }
 
-    /// Sets how long after a commit a replica receives it and how long after that it applies it.
+    /// Sets the delay after a commit until the replica receives it, and from then until it applies it.
     pub fn set_lag(&self, name: &str, receive: Duration, apply: Duration) -> anyhow::Result<()> {
         self.core.update(name, |state| {
             state.receive_delay = receive;
--- a/crates/fake/src/fakedb/store.rs
+++ b/crates/fake/src/fakedb/store.rs
@@ -15,7 +15,7 @@
 use super::value::{ColumnType, Row, RowKey, Value};
 use super::{DatabaseCounters, DatabaseReport, DatabaseRole, SqlError};
 
-/// Bytes of a log entry besides its changes.
+/// Bytes of a log entry in addition to its changes.
 const ENTRY_HEADER_BYTES: u64 = 24;
 
 #[derive(Clone, Debug)]
@@ -31,7 +31,8 @@
 pub(crate) struct TableDef {
     pub(crate) name: Arc<str>,
     pub(crate) columns: Vec<ColumnDef>,
-    /// Column numbers; empty for a table without a primary key, whose rows get a hidden number.
+    /// Indexes of the key columns; empty for a table without a primary key, whose rows get a hidden
+    /// number as key.
     pub(crate) primary: Vec<usize>,
     pub(crate) unique: Vec<Vec<usize>>,
 }
@@ -178,14 +179,14 @@
     pub(crate) applied: usize,
     pub(crate) tables: BTreeMap<Arc<str>, Table>,
 
-    /// When the entries after `applied` were received.
+    /// Times at which the entries after `applied` were received.
     pub(crate) received_at: VecDeque<Instant>,
     pub(crate) epoch: u64,
     pub(crate) next_transaction: u64,
     pub(crate) locks: BTreeMap<LockKey, u64>,
-    /// Which transaction waits for which other one, for the detection of deadlocks.
+    /// Waiting transactions and the transaction that each waits for, to detect deadlocks.
     pub(crate) waits: HashMap<u64, u64>,
-    /// Statements that wait for a slot, in arrival order, by the number of their connection.
+    /// Statements that wait for a slot, in arrival order, by the process ID of their connection.
     pub(crate) slot_queue: VecDeque<(i32, Arc<Condvar>)>,
     pub(crate) connections: HashMap<i32, ConnectionEntry>,
     /// Incremented by every kill, so that connections of an earlier incarnation end.
@@ -279,7 +280,7 @@
         Ok(true)
     }
 
-    /// Appends an entry of the own term and applies it.
+    /// Appends an entry of the current term and applies it.
     pub(crate) fn append(&mut self, changes: Vec<LogChange>) {
         let bytes: u64 = changes.iter().map(LogChange::bytes).sum();
         let end = self.received() + ENTRY_HEADER_BYTES + bytes;
--- a/crates/fake/src/fakeplatform.rs
+++ b/crates/fake/src/fakeplatform.rs
@@ -338,7 +338,7 @@
     }
 
     /// Drops the answers to a share (0 to 1) of all changes; the seed determines which ones.
-    pub fn lose_share(&self, share: f64, seed: u64) {
+    pub fn drop_answers_by_share(&self, share: f64, seed: u64) {
         self.core.change(|store| {
             store.lose_share = share;
             store.random = SeededRandom::new(seed);
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -23,10 +23,10 @@
 /// reader that closes the pipe after the first line must not end the tool.
 ///
 /// ```
-/// fake::announce([("control", "127.0.0.1:7000".parse()?)]);
+/// fake::print_addresses([("control", "127.0.0.1:7000".parse()?)]);
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
-pub fn announce<'a>(addresses: impl IntoIterator<Item = (&'a str, std::net::SocketAddr)>) {
+pub fn print_addresses<'a>(addresses: impl IntoIterator<Item = (&'a str, std::net::SocketAddr)>) {
     use std::io::Write;
 
     let lines = addresses.into_iter().map(|(name, address)| match name {
--- a/crates/fake/src/loadgen.rs
+++ b/crates/fake/src/loadgen.rs
@@ -1,8 +1,8 @@
 //! Clients that send mixes of requests and check the answers.
 //!
 //! Each connection is a thread with a blocking client, so a run has at most a few thousand of them.
-//! With a rate, latency counts from the time at which a request was due; otherwise clients that wait
-//! for a stalled server would hide the stall. Checks use a separate connection to the database itself:
+//! With a rate, latency counts from the time at which a request was due, so that clients waiting for a
+//! stalled server do not hide the stall. Checks use a separate connection to the database itself:
 //!
 //! - tokens: each acknowledged token is in the table exactly once, and no refused token is in it;
 //! - sessions: a read after an acknowledged write of the same session returns that write;
--- a/crates/fake/tests/platform_and_links.rs
+++ b/crates/fake/tests/platform_and_links.rs
@@ -148,7 +148,7 @@
     platform.set_slow(Duration::ZERO);
     let mut lost = Vec::new();
     for _ in 0..2 {
-        platform.lose_share(0.5, 7);
+        platform.drop_answers_by_share(0.5, 7);
         let results = (0..20).map(|_| client.put("/kv/share", b"x").is_err());
         lost.push(results.collect::<Vec<bool>>());
     }
