--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -71,10 +71,10 @@
 
 /// Messages and bytes of one kind of control message.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ControlFlow {
+pub struct ControlTraffic {
     pub messages: u64,
-    pub sent: u64,
-    pub received: u64,
+    pub sent_bytes: u64,
+    pub received_bytes: u64,
 }
 
 /// Counts of one run.
@@ -82,7 +82,7 @@
 pub struct ControlCount {
     pub seconds: f64,
     pub owned_databases: usize,
-    pub flows: BTreeMap<&'static str, ControlFlow>,
+    pub traffic: BTreeMap<&'static str, ControlTraffic>,
     pub allocations: u64,
     pub processor_time: Duration,
     /// Heap bytes that the node holds.
@@ -92,22 +92,23 @@
 impl ControlCount {
     /// Returns bytes sent a second, of one kind of message or of all.
     pub fn sent_per_second(&self, kind: Option<&str>) -> f64 {
-        self.sum(kind, |flow| flow.sent) as f64 / self.seconds
+        self.sum(kind, |traffic| traffic.sent_bytes) as f64 / self.seconds
     }
 
     /// Returns bytes received a second, of one kind of message or of all.
     pub fn received_per_second(&self, kind: Option<&str>) -> f64 {
-        self.sum(kind, |flow| flow.received) as f64 / self.seconds
+        self.sum(kind, |traffic| traffic.received_bytes) as f64 / self.seconds
     }
 
     /// Returns messages a second in both directions, of one kind or of all.
     pub fn messages_per_second(&self, kind: Option<&str>) -> f64 {
-        self.sum(kind, |flow| flow.messages) as f64 / self.seconds
+        self.sum(kind, |traffic| traffic.messages) as f64 / self.seconds
     }
 
-    fn sum(&self, kind: Option<&str>, value: impl Fn(&ControlFlow) -> u64) -> u64 {
-        let flows = self.flows.iter().filter(|(name, _)| kind.is_none_or(|kind| kind == **name));
-        flows.map(|(_, flow)| value(flow)).sum()
+    fn sum(&self, kind: Option<&str>, value: impl Fn(&ControlTraffic) -> u64) -> u64 {
+        let matching =
+            self.traffic.iter().filter(|(name, _)| kind.is_none_or(|kind| kind == **name));
+        matching.map(|(_, traffic)| value(traffic)).sum()
     }
 }
 
@@ -194,7 +195,7 @@
     down: bool,
     term: u64,
     log_term: u64,
-    start: u64,
+    term_start: u64,
 }
 
 impl FakeDatabase {
@@ -205,7 +206,7 @@
             log_term: Term(self.log_term),
             received: LogPosition(1_000),
             applied: LogPosition(1_000),
-            term_start: LogPosition(self.start),
+            term_start: LogPosition(self.term_start),
             previous_term: Term(self.log_term.saturating_sub(1)),
         }
     }
@@ -269,10 +270,10 @@
     }
 
     fn count_exchange(&mut self, kind: &'static str, sent: u64, received: u64) {
-        let flow = self.count.flows.entry(kind).or_default();
-        flow.messages += 2;
-        flow.sent += sent;
-        flow.received += received;
+        let traffic = self.count.traffic.entry(kind).or_default();
+        traffic.messages += 2;
+        traffic.sent_bytes += sent;
+        traffic.received_bytes += received;
     }
 
     fn execute_action(&mut self, action: NodeAction) {
@@ -331,7 +332,7 @@
             NodeAction::AskPromote { id, database, term, .. } => {
                 self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 if let Some(found) = self.databases.get_mut(&database) {
-                    (found.primary, found.log_term, found.start) = (true, term.0, 1_000);
+                    (found.primary, found.log_term, found.term_start) = (true, term.0, 1_000);
                 }
                 let start = LogPosition(1_000);
                 self.schedule(
@@ -389,12 +390,12 @@
     }
 
     /// Delivers a heartbeat of a member to the node, with changes.
-    fn deliver_heartbeat(&mut self, sender: usize, changes: Vec<MemberInfo>, config: u64) {
+    fn deliver_heartbeat(&mut self, sender: usize, changes: Vec<MemberInfo>, config_revision: u64) {
         let Some(own) = self.node.heartbeat() else { return };
         let mut revisions = own.revisions.clone();
         for (document, revision) in &mut revisions {
             if document.as_str() == CONFIG_DOCUMENT {
-                *revision = (*revision).max(config);
+                *revision = (*revision).max(config_revision);
             }
         }
         let from = self.members[sender].clone();
@@ -529,7 +530,8 @@
     let databases = (0..database_count.div_ceil(DATABASES_PER_CLUSTER) * DATABASES_PER_CLUSTER)
         .map(|index| {
             let primary = index % DATABASES_PER_CLUSTER == 0;
-            let database = FakeDatabase { primary, down: false, term: 1, log_term: 1, start: 24 };
+            let database =
+                FakeDatabase { primary, down: false, term: 1, log_term: 1, term_start: 24 };
             (database_name(index).into(), database)
         })
         .collect();
@@ -628,7 +630,7 @@
                     down: false,
                     term: 1,
                     log_term: 1,
-                    start: 24,
+                    term_start: 24,
                 }
                 .report();
                 let event = WatchEvent::ReportArrived { database, round, report };
@@ -780,9 +782,9 @@
                 name,
                 size.0,
                 size.1,
-                change(&|count| count.sum(None, |flow| flow.messages) as f64),
-                change(&|count| count.sum(None, |flow| flow.sent) as f64),
-                change(&|count| count.sum(None, |flow| flow.received) as f64),
+                change(&|count| count.sum(None, |traffic| traffic.messages) as f64),
+                change(&|count| count.sum(None, |traffic| traffic.sent_bytes) as f64),
+                change(&|count| count.sum(None, |traffic| traffic.received_bytes) as f64),
                 change(&|count| count.allocations as f64),
                 change(&|count| count.processor_time.as_secs_f64() * 1e6),
             );
