--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling peers.
+//! Client side of the protocol between nodes: calls to peers.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -29,66 +29,68 @@
 use crate::server::reader_options;
 use crate::stream::RpcStream;
 
-/// Time after which a connection without calls and lanes is closed.
-const IDLE_CLOSE: Duration = Duration::from_secs(30);
+/// Time after which a connection without calls and lanes is closed as idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Timeouts in a row after which a connection counts as dead. A link that drops packets gives no
-/// error, and TCP's own retries can pause for many seconds after it heals.
-const TIMEOUT_LIMIT: u32 = 3;
+/// Number of consecutive timeouts after which a connection is closed. A network path that drops packets
+/// raises no error, and TCP may wait many seconds to retransmit after the path recovers.
+const MAX_CONSECUTIVE_TIMEOUTS: u32 = 3;
 
-/// A call that failed.
+/// Error of a call to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerCallError {
-    /// No byte was passed to the peer.
+    /// The connection sent no byte, so the call did not reach the peer.
     #[error("failed to reach peer {address}: {message}")]
     NotSent { address: SocketAddress, message: String },
     /// The call may have reached the peer.
-    #[error("lost the call to peer {address}: {message}")]
-    Broken { address: SocketAddress, message: String },
-    #[error("peer {address} did not answer in time")]
+    #[error("call to peer {address} failed after it may have been sent: {message}")]
+    Interrupted { address: SocketAddress, message: String },
+    #[error("peer {address} did not answer before the call's timeout")]
     TimedOut { address: SocketAddress },
 }
 
 impl PeerCallError {
-    /// Tells whether the call may have reached the peer.
+    /// Returns whether the call may have reached the peer.
     pub fn may_have_arrived(&self) -> bool {
         !matches!(self, PeerCallError::NotSent { .. })
     }
 }
 
-/// End of a forwarded request.
+/// Result of a forwarded request.
 pub struct ForwardReply {
     pub reply: WorkReply,
-    /// Set while a transaction is open.
+    /// The lane of the transaction, if it is still open.
     pub lane: Option<LaneHandle>,
 }
 
-/// A connection pinned at a peer; drop releases it.
+/// Handle of a lane: the backend connection that a peer keeps pinned for an open transaction. Dropping
+/// the last clone releases the connection.
 #[derive(Clone)]
 pub struct LaneHandle {
     client: lane::Client,
-    connection: Rc<Connection>,
-    _use: Rc<()>,
+    connection: Rc<PeerConnection>,
+    _in_use: Rc<()>,
 }
 
-/// A call in progress. Drop gives it up.
+/// A call in progress. Dropping the guard abandons the call.
 #[must_use]
 pub struct CallGuard {
     abort: AbortHandle,
-    open: Rc<Cell<bool>>,
+    /// Cleared when the call ends; chunks that arrive later are dropped.
+    sink_open: Rc<Cell<bool>>,
     pool: TaskPool,
-    /// The connection and the call's number on it; `None` if there is no connection.
-    call: Option<(Rc<Connection>, u64)>,
+    /// The connection and the call's number on it; `None` if no connection could be opened.
+    call: Option<(Rc<PeerConnection>, u64)>,
 }
 
 impl CallGuard {
-    /// Asks the peer to cancel the work; the call still ends with a reply or an error.
+    /// Asks the peer to cancel the request. The call still ends with a reply or an error.
     pub fn cancel(&self) {
         if let Some((connection, number)) = &self.call {
             let mut request = connection.client.cancel_request();
             request.get().set_call(*number);
             let answer = request.send().promise;
-            // A failure is that of the connection, which the call itself reports.
+            // Only a failed connection makes this fail, and the call itself reports that.
             self.pool.spawn(async move {
                 let _ = answer.await;
             });
@@ -98,50 +100,50 @@
 
 impl Drop for CallGuard {
     fn drop(&mut self) {
-        // Chunks that are already on their way belong to no request any more.
-        self.open.set(false);
+        // Chunks still in transit belong to no request any more.
+        self.sink_open.set(false);
         self.abort.abort();
     }
 }
 
-/// Receives the parts of an answer.
-type ChunkTarget = Rc<dyn Fn(Bytes, ChunkPermit)>;
+/// Receives the chunks of an answer.
+type ChunkHandler = Rc<dyn Fn(Bytes, ChunkPermit)>;
 
-struct Connection {
+struct PeerConnection {
     address: SocketAddress,
     client: peer::Client,
     stream: RpcStream,
-    /// Cloned by every call and lane.
-    uses: Rc<()>,
+    /// Cloned by every call and lane; a strong count of 1 means that the connection is idle.
+    in_use: Rc<()>,
     last_use: Cell<Instant>,
     ended: Rc<Cell<bool>>,
-    timeouts: Cell<u32>,
-    next_call: Cell<u64>,
+    consecutive_timeouts: Cell<u32>,
+    next_call_number: Cell<u64>,
 }
 
-impl Connection {
-    fn next_call(&self) -> u64 {
-        let number = self.next_call.get();
-        self.next_call.set(number + 1);
+impl PeerConnection {
+    fn next_call_number(&self) -> u64 {
+        let number = self.next_call_number.get();
+        self.next_call_number.set(number + 1);
         number
     }
 }
 
-impl Drop for Connection {
+impl Drop for PeerConnection {
     fn drop(&mut self) {
         self.stream.close();
     }
 }
 
-/// Connections to peers, one for each address, opened on demand. Clones share them.
+/// Connections to peers, one per address, opened on demand. Clones share the connections.
 #[derive(Clone)]
 pub struct PeerClients {
     pool: TaskPool,
-    connections: Rc<RefCell<FastMap<SocketAddress, Rc<Connection>>>>,
+    connections: Rc<RefCell<FastMap<SocketAddress, Rc<PeerConnection>>>>,
 }
 
 impl PeerClients {
-    /// Creates a client side without connections.
+    /// Creates a set without connections.
     pub fn new(pool: TaskPool) -> Self {
         PeerClients { pool, connections: Rc::default() }
     }
@@ -151,17 +153,17 @@
         self.connections.borrow().len()
     }
 
-    /// Closes connections that were idle for 30 s, and forgets those that ended.
+    /// Closes connections that were idle for 30 s, and removes those that ended.
     pub fn sweep(&self, core: &Core) {
         let now = core.now();
         self.connections.borrow_mut().retain(|_, connection| {
-            let idle = Rc::strong_count(&connection.uses) == 1
-                && now.saturating_duration_since(connection.last_use.get()) >= IDLE_CLOSE;
+            let idle = Rc::strong_count(&connection.in_use) == 1
+                && now.saturating_duration_since(connection.last_use.get()) >= IDLE_TIMEOUT;
             !connection.ended.get() && !idle
         });
     }
 
-    /// Sends a heartbeat; `done` gets the peer's own.
+    /// Sends a heartbeat. `done` receives the peer's heartbeat.
     pub fn heartbeat(
         &self,
         core: &mut Core,
@@ -179,7 +181,7 @@
         self.call(core, address, timeout, send, done);
     }
 
-    /// Pulls the peer's member table.
+    /// Fetches the peer's member table.
     pub fn pull_table(
         &self,
         core: &mut Core,
@@ -194,7 +196,7 @@
         self.call(core, address, timeout, send, done);
     }
 
-    /// Pulls a document: its revision and bytes, if the peer holds it.
+    /// Fetches a document: its revision and bytes, or `None` if the peer does not hold it.
     pub fn pull_document(
         &self,
         core: &mut Core,
@@ -220,7 +222,7 @@
         self.call(core, address, timeout, send, done);
     }
 
-    /// Asks for the peer's view of a cluster.
+    /// Fetches the peer's view of a cluster's leader.
     pub fn view(
         &self,
         core: &mut Core,
@@ -245,27 +247,28 @@
         self.call(core, address, timeout, send, done);
     }
 
-    /// Forwards work. `chunks` gets the answer; a chunk counts as delivered when its permit is dropped.
+    /// Forwards a request. `chunks` receives the answer; a chunk counts as delivered when its permit is
+    /// dropped.
     #[allow(clippy::too_many_arguments)]
     pub fn execute(
         &self,
         core: &mut Core,
         address: SocketAddress,
-        from: &str,
-        work: &WorkRequest,
+        sender: &str,
+        routed: &WorkRequest,
         timeout: Duration,
         chunks: impl Fn(Bytes, ChunkPermit) + 'static,
         done: impl FnOnce(Result<ForwardReply, PeerCallError>) + 'static,
     ) -> CallGuard {
         let connection = self.connection(core, address);
-        let number = connection.as_ref().map_or(0, |connection| connection.next_call());
-        let (sink, open) = new_sink(chunks);
-        let send = |connection: &Result<Rc<Connection>, PeerCallError>| {
+        let number = connection.as_ref().map_or(0, |connection| connection.next_call_number());
+        let (sink, sink_open) = new_sink(chunks);
+        let send = |connection: &Result<Rc<PeerConnection>, PeerCallError>| {
             let connection = connection.as_ref().ok()?;
             let mut request = connection.client.execute_request();
-            request.get().set_sender(from);
+            request.get().set_sender(sender);
             request.get().set_call(number);
-            codec::write_work(request.get().init_work(), work);
+            codec::write_routed_request(request.get().init_work(), routed);
             request.get().set_sink(sink);
             let answer = request.send().promise;
             let connection = connection.clone();
@@ -276,7 +279,7 @@
                 let lane = match answer.has_lane() {
                     true => Some(LaneHandle {
                         client: answer.get_lane()?,
-                        _use: connection.uses.clone(),
+                        _in_use: connection.in_use.clone(),
                         connection,
                     }),
                     false => None,
@@ -285,32 +288,32 @@
             })
         };
         let answer = send(&connection);
-        self.start_forward(core, connection, number, answer, timeout, open, done)
+        self.start_forward(core, connection, number, answer, timeout, sink_open, done)
     }
 
-    /// Forwards work to the transaction on a lane; see [`PeerClients::execute`].
+    /// Forwards a request to the transaction on a lane; see [`PeerClients::execute`].
     pub fn execute_on_lane(
         &self,
         core: &mut Core,
         lane: &LaneHandle,
-        work: &WorkRequest,
+        routed: &WorkRequest,
         timeout: Duration,
         chunks: impl Fn(Bytes, ChunkPermit) + 'static,
         done: impl FnOnce(Result<ForwardReply, PeerCallError>) + 'static,
     ) -> CallGuard {
-        let number = lane.connection.next_call();
-        let (sink, open) = new_sink(chunks);
+        let number = lane.connection.next_call_number();
+        let (sink, sink_open) = new_sink(chunks);
         let mut request = lane.client.execute_request();
         request.get().set_call(number);
-        codec::write_work(request.get().init_work(), work);
+        codec::write_routed_request(request.get().init_work(), routed);
         request.get().set_sink(sink);
         let answer = request.send().promise;
         let lane = lane.clone();
-        // Nothing can be passed on a link that ended, and the peer has released the transaction.
+        // On a connection that ended nothing can be sent, and the peer has released the lane.
         let connection = match lane.connection.ended.get() {
             true => Err(PeerCallError::NotSent {
                 address: lane.connection.address,
-                message: "the link ended before".to_owned(),
+                message: "the connection had already ended".to_owned(),
             }),
             false => Ok(lane.connection.clone()),
         };
@@ -320,28 +323,28 @@
             let reply = codec::read_reply(answer.get_reply()?)?;
             Ok(ForwardReply { reply, lane: answer.get_open().then_some(lane) })
         };
-        self.start_forward(core, connection, number, Some(answer), timeout, open, done)
+        self.start_forward(core, connection, number, Some(answer), timeout, sink_open, done)
     }
 
     #[allow(clippy::too_many_arguments)]
     fn start_forward(
         &self,
         core: &mut Core,
-        connection: Result<Rc<Connection>, PeerCallError>,
+        connection: Result<Rc<PeerConnection>, PeerCallError>,
         number: u64,
         answer: Option<impl Future<Output = Result<ForwardReply, Error>> + 'static>,
         timeout: Duration,
-        open: Rc<Cell<bool>>,
+        sink_open: Rc<Cell<bool>>,
         done: impl FnOnce(Result<ForwardReply, PeerCallError>) + 'static,
     ) -> CallGuard {
-        let still_open = open.clone();
+        let open = sink_open.clone();
         let done = move |result| {
-            still_open.set(false);
+            open.set(false);
             done(result);
         };
         let call = connection.as_ref().ok().map(|connection| (connection.clone(), number));
-        let abort = self.start(core, connection, answer, timeout, done);
-        CallGuard { abort, open, pool: self.pool.clone(), call }
+        let abort = self.start_call(core, connection, answer, timeout, done);
+        CallGuard { abort, sink_open, pool: self.pool.clone(), call }
     }
 
     fn call<F, T>(
@@ -357,13 +360,13 @@
     {
         let connection = self.connection(core, address);
         let answer = connection.as_ref().ok().map(|connection| send(&connection.client));
-        self.start(core, connection, answer, timeout, done);
+        self.start_call(core, connection, answer, timeout, done);
     }
 
-    fn start<T: 'static>(
+    fn start_call<T: 'static>(
         &self,
         core: &mut Core,
-        connection: Result<Rc<Connection>, PeerCallError>,
+        connection: Result<Rc<PeerConnection>, PeerCallError>,
         answer: Option<impl Future<Output = Result<T, Error>> + 'static>,
         timeout: Duration,
         done: impl FnOnce(Result<T, PeerCallError>) + 'static,
@@ -371,9 +374,11 @@
         let timer = CallTimer::start(core, timeout);
         let task = async move {
             let result = match (connection, answer) {
-                (Ok(connection), Some(answer)) => connection.finish(answer, timer).await,
+                (Ok(connection), Some(answer)) => connection.await_answer(answer, timer).await,
                 (Err(error), _) => Err(error),
-                (Ok(connection), None) => Err(connection.error("no request was made".to_owned())),
+                (Ok(connection), None) => {
+                    Err(connection.call_error("the call was not created".to_owned()))
+                }
             };
             done(result);
         };
@@ -388,7 +393,7 @@
         &self,
         core: &mut Core,
         address: SocketAddress,
-    ) -> Result<Rc<Connection>, PeerCallError> {
+    ) -> Result<Rc<PeerConnection>, PeerCallError> {
         let mut connections = self.connections.borrow_mut();
         if let Some(connection) = connections.get(&address)
             && !connection.ended.get()
@@ -407,7 +412,7 @@
             reader_options(),
         );
         let mut system = RpcSystem::new(Box::new(network), None);
-        // Every call on the connection gets the error itself.
+        // Every call on the connection receives the error itself.
         system.set_background_error_handler(|_| {});
         let client: peer::Client = system.bootstrap(Side::Server);
         let ended = Rc::new(Cell::new(false));
@@ -418,65 +423,65 @@
             system_ended.set(true);
             system_stream.close();
         });
-        let connection = Rc::new(Connection {
+        let connection = Rc::new(PeerConnection {
             address,
             client,
             stream,
-            uses: Rc::new(()),
+            in_use: Rc::new(()),
             last_use: Cell::new(core.now()),
             ended,
-            timeouts: Cell::new(0),
-            next_call: Cell::new(0),
+            consecutive_timeouts: Cell::new(0),
+            next_call_number: Cell::new(0),
         });
         connections.insert(address, connection.clone());
         Ok(connection)
     }
 }
 
-impl Connection {
-    async fn finish<T>(
+impl PeerConnection {
+    async fn await_answer<T>(
         &self,
         answer: impl Future<Output = Result<T, Error>>,
         timer: CallTimer,
     ) -> Result<T, PeerCallError> {
-        let _use = self.uses.clone();
+        let _in_use = self.in_use.clone();
         let answer = std::pin::pin!(answer);
         match future::select(answer, timer).await {
             Either::Left((Ok(answer), _)) => {
-                self.timeouts.set(0);
+                self.consecutive_timeouts.set(0);
                 Ok(answer)
             }
             Either::Left((Err(error), _)) => {
                 if error.kind == capnp::ErrorKind::Disconnected {
                     self.ended.set(true);
                 }
-                Err(self.error(error.to_string()))
+                Err(self.call_error(error.to_string()))
             }
             Either::Right(_) => {
-                self.timeouts.set(self.timeouts.get() + 1);
+                self.consecutive_timeouts.set(self.consecutive_timeouts.get() + 1);
                 let sent = self.stream.has_written();
-                if self.timeouts.get() >= TIMEOUT_LIMIT || !sent {
+                if self.consecutive_timeouts.get() >= MAX_CONSECUTIVE_TIMEOUTS || !sent {
                     self.ended.set(true);
                     self.stream.close();
                 }
                 match sent {
                     true => Err(PeerCallError::TimedOut { address: self.address }),
-                    false => Err(self.error("no connection in time".to_owned())),
+                    false => Err(self.call_error("no byte was sent before the timeout".to_owned())),
                 }
             }
         }
     }
 
-    fn error(&self, message: String) -> PeerCallError {
+    fn call_error(&self, message: String) -> PeerCallError {
         let address = self.address;
         match self.stream.has_written() {
-            true => PeerCallError::Broken { address, message },
+            true => PeerCallError::Interrupted { address, message },
             false => PeerCallError::NotSent { address, message },
         }
     }
 }
 
-/// Resolves after the timeout; drop removes the timer.
+/// Resolves after the timeout. Dropping it removes the timer from the event loop.
 struct CallTimer {
     key: FixedTimerKey,
     deferrer: Deferrer,
@@ -514,7 +519,7 @@
 }
 
 struct SinkServer {
-    chunks: ChunkTarget,
+    chunks: ChunkHandler,
     open: Rc<Cell<bool>>,
 }
 
@@ -532,11 +537,11 @@
         params: answer_sink::WriteParams,
         _results: answer_sink::WriteResults,
     ) -> impl Future<Output = Result<(), Error>> + 'static {
-        // The chunk is passed on before the future is polled, which keeps the order of the calls.
-        let written = self.accept(&params);
+        // The chunk is delivered before the future is polled, which keeps the order of the calls.
+        let written = self.deliver(&params);
         async move {
             if let Some(written) = written? {
-                // The permit is only ever dropped, never sent.
+                // Dropping the permit drops the sender, so this always ends with a cancelled receiver.
                 let _ = written.await;
             }
             Ok(())
@@ -545,7 +550,7 @@
 }
 
 impl SinkServer {
-    fn accept(
+    fn deliver(
         &self,
         params: &answer_sink::WriteParams,
     ) -> Result<Option<oneshot::Receiver<()>>, Error> {
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -1,4 +1,4 @@
-//! Translation between the node's types and peer messages.
+//! Conversion between the node's types and the Cap'n Proto messages between peers.
 
 use std::sync::Arc;
 
@@ -120,73 +120,73 @@
     })
 }
 
-fn write_time(mut builder: wire::optional_time::Builder<'_>, time: Option<Micros>) {
+fn write_optional_time(mut builder: wire::optional_time::Builder<'_>, time: Option<Micros>) {
     match time {
         Some(time) => builder.set_micros(time.0),
         None => builder.set_none(()),
     }
 }
 
-fn read_time(reader: wire::optional_time::Reader<'_>) -> Result<Option<Micros>, Error> {
+fn read_optional_time(reader: wire::optional_time::Reader<'_>) -> Result<Option<Micros>, Error> {
     Ok(match reader.which()? {
         wire::optional_time::None(()) => None,
         wire::optional_time::Micros(micros) => Some(Micros(micros)),
     })
 }
 
-fn write_floor(mut builder: wire::floor::Builder<'_>, floor: SessionFloor) {
-    builder.set_term(floor.term.0);
-    builder.set_position(floor.position.0);
+fn write_required_position(mut builder: wire::floor::Builder<'_>, required: SessionFloor) {
+    builder.set_term(required.term.0);
+    builder.set_position(required.position.0);
 }
 
-fn read_floor(reader: wire::floor::Reader<'_>) -> SessionFloor {
+fn read_required_position(reader: wire::floor::Reader<'_>) -> SessionFloor {
     SessionFloor { term: Term(reader.get_term()), position: LogPosition(reader.get_position()) }
 }
 
-pub(crate) fn write_work(mut builder: wire::work::Builder<'_>, work: &WorkRequest) {
-    builder.set_database(work.database.as_str());
-    builder.set_caller(work.caller.as_str());
-    let mut labels = builder.reborrow().init_labels(work.labels.0.len() as u32);
-    for (index, (key, value)) in work.labels.0.iter().enumerate() {
+pub(crate) fn write_routed_request(mut builder: wire::work::Builder<'_>, routed: &WorkRequest) {
+    builder.set_database(routed.database.as_str());
+    builder.set_caller(routed.caller.as_str());
+    let mut labels = builder.reborrow().init_labels(routed.labels.0.len() as u32);
+    for (index, (key, value)) in routed.labels.0.iter().enumerate() {
         let mut label = labels.reborrow().get(index as u32);
         label.set_key(key.as_str());
         label.set_value(value.as_str());
     }
-    builder.set_selector(work.selector.as_str());
-    builder.set_rank(match work.rank {
+    builder.set_selector(routed.selector.as_str());
+    builder.set_rank(match routed.rank {
         Rank::Urgent => wire::Rank::Urgent,
         Rank::Interactive => wire::Rank::Interactive,
         Rank::Batch => wire::Rank::Batch,
     });
-    builder.set_time_left(work.time_left.0);
-    builder.set_read(work.read);
-    builder.set_commits(work.commits);
-    builder.set_durable(work.durable);
-    write_time(builder.reborrow().init_max_age(), work.max_age);
-    if let Some(floor) = work.floor {
-        write_floor(builder.reborrow().init_floor(), floor);
+    builder.set_time_left(routed.time_left.0);
+    builder.set_read(routed.read);
+    builder.set_commits(routed.commits);
+    builder.set_durable(routed.durable);
+    write_optional_time(builder.reborrow().init_max_age(), routed.max_age);
+    if let Some(floor) = routed.floor {
+        write_required_position(builder.reborrow().init_floor(), floor);
     }
-    write_time(builder.reborrow().init_arrived_ago(), work.arrived_ago);
-    if let Some(key) = &work.request_key {
+    write_optional_time(builder.reborrow().init_arrived_ago(), routed.arrived_ago);
+    if let Some(key) = &routed.request_key {
         builder.set_has_request_key(true);
         builder.set_request_key(key.as_str());
     }
-    builder.set_user(work.user.as_str());
-    builder.set_kind(match work.request.kind {
+    builder.set_user(routed.user.as_str());
+    builder.set_kind(match routed.request.kind {
         RequestKind::Simple => wire::RequestKind::Simple,
         RequestKind::Extended => wire::RequestKind::Extended,
     });
-    builder.set_text(&*work.request.text);
-    builder.set_frames(&work.request.frames);
+    builder.set_text(&*routed.request.text);
+    builder.set_frames(&routed.request.frames);
 }
 
-pub(crate) fn read_work(reader: wire::work::Reader<'_>) -> Result<WorkRequest, Error> {
+pub(crate) fn read_routed_request(reader: wire::work::Reader<'_>) -> Result<WorkRequest, Error> {
     let mut labels = LabelSet::default();
     for label in reader.get_labels()? {
         labels.0.insert(name(label.get_key()?)?, name(label.get_value()?)?);
     }
     let floor = match reader.has_floor() {
-        true => Some(read_floor(reader.get_floor()?)),
+        true => Some(read_required_position(reader.get_floor()?)),
         false => None,
     };
     let request_key = match reader.get_has_request_key() {
@@ -207,9 +207,9 @@
         read: reader.get_read(),
         commits: reader.get_commits(),
         durable: reader.get_durable(),
-        max_age: read_time(reader.get_max_age()?)?,
+        max_age: read_optional_time(reader.get_max_age()?)?,
         floor,
-        arrived_ago: read_time(reader.get_arrived_ago()?)?,
+        arrived_ago: read_optional_time(reader.get_arrived_ago()?)?,
         request_key,
         user: name(reader.get_user()?)?,
         request: CallerRequest {
@@ -223,7 +223,7 @@
     })
 }
 
-fn write_decline(mut builder: wire::decline::Builder<'_>, reason: &DeclineReason) {
+fn write_decline_reason(mut builder: wire::decline::Builder<'_>, reason: &DeclineReason) {
     match reason {
         DeclineReason::NotLeader { leader } => {
             builder.set_not_leader(leader.as_ref().map_or("", |leader| leader.as_str()));
@@ -237,7 +237,7 @@
     }
 }
 
-fn read_decline(reader: wire::decline::Reader<'_>) -> Result<DeclineReason, Error> {
+fn read_decline_reason(reader: wire::decline::Reader<'_>) -> Result<DeclineReason, Error> {
     Ok(match reader.which()? {
         wire::decline::NotLeader(leader) => {
             DeclineReason::NotLeader { leader: optional_name(leader?)? }
@@ -251,7 +251,7 @@
     })
 }
 
-fn write_transaction(state: TransactionState) -> wire::TransactionState {
+fn write_transaction_state(state: TransactionState) -> wire::TransactionState {
     match state {
         TransactionState::Idle => wire::TransactionState::Idle,
         TransactionState::Open => wire::TransactionState::Open,
@@ -259,7 +259,7 @@
     }
 }
 
-fn read_transaction(state: wire::TransactionState) -> TransactionState {
+fn read_transaction_state(state: wire::TransactionState) -> TransactionState {
     match state {
         wire::TransactionState::Idle => TransactionState::Idle,
         wire::TransactionState::Open => TransactionState::Open,
@@ -271,21 +271,21 @@
     match reply {
         WorkReply::Done { transaction, floor, lost, age, wait } => {
             let mut done = builder.init_done();
-            done.set_transaction(write_transaction(*transaction));
+            done.set_transaction(write_transaction_state(*transaction));
             if let Some(floor) = floor {
-                write_floor(done.reborrow().init_floor(), *floor);
+                write_required_position(done.reborrow().init_floor(), *floor);
             }
             if let Some(lost) = lost {
-                write_floor(done.reborrow().init_lost(), *lost);
+                write_required_position(done.reborrow().init_lost(), *lost);
             }
             done.set_wait(wait.0);
-            write_time(done.init_age(), *age);
+            write_optional_time(done.init_age(), *age);
         }
         WorkReply::Declined { reason, age, wait } => {
             let mut declined = builder.init_declined();
-            write_decline(declined.reborrow().init_reason(), reason);
+            write_decline_reason(declined.reborrow().init_reason(), reason);
             declined.set_wait(wait.0);
-            write_time(declined.init_age(), *age);
+            write_optional_time(declined.init_age(), *age);
         }
         WorkReply::Recorded { command_tag, error, transaction, floor } => {
             let mut recorded = builder.init_recorded();
@@ -297,9 +297,9 @@
                 error.set_code(code.as_str());
                 error.set_message(message);
             }
-            recorded.set_transaction(write_transaction(*transaction));
+            recorded.set_transaction(write_transaction_state(*transaction));
             if let Some(floor) = floor {
-                write_floor(recorded.init_floor(), *floor);
+                write_required_position(recorded.init_floor(), *floor);
             }
         }
         WorkReply::RolledBack { message } => builder.set_rolled_back(message),
@@ -315,21 +315,21 @@
 pub(crate) fn read_reply(reader: wire::reply::Reader<'_>) -> Result<WorkReply, Error> {
     Ok(match reader.which()? {
         wire::reply::Done(done) => WorkReply::Done {
-            transaction: read_transaction(done.get_transaction()?),
+            transaction: read_transaction_state(done.get_transaction()?),
             floor: match done.has_floor() {
-                true => Some(read_floor(done.get_floor()?)),
+                true => Some(read_required_position(done.get_floor()?)),
                 false => None,
             },
             lost: match done.has_lost() {
-                true => Some(read_floor(done.get_lost()?)),
+                true => Some(read_required_position(done.get_lost()?)),
                 false => None,
             },
-            age: read_time(done.get_age()?)?,
+            age: read_optional_time(done.get_age()?)?,
             wait: Micros(done.get_wait()),
         },
         wire::reply::Declined(declined) => WorkReply::Declined {
-            reason: read_decline(declined.get_reason()?)?,
-            age: read_time(declined.get_age()?)?,
+            reason: read_decline_reason(declined.get_reason()?)?,
+            age: read_optional_time(declined.get_age()?)?,
             wait: Micros(declined.get_wait()),
         },
         wire::reply::Recorded(recorded) => WorkReply::Recorded {
@@ -345,9 +345,9 @@
                 }
                 false => None,
             },
-            transaction: read_transaction(recorded.get_transaction()?),
+            transaction: read_transaction_state(recorded.get_transaction()?),
             floor: match recorded.has_floor() {
-                true => Some(read_floor(recorded.get_floor()?)),
+                true => Some(read_required_position(recorded.get_floor()?)),
                 false => None,
             },
         },
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering a peer's calls.
+//! Server side of the protocol between nodes: answers a peer's calls.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -25,19 +25,19 @@
 use crate::pool::TaskPool;
 use crate::stream::RpcStream;
 
-/// Largest message that a peer may send, in words of 8 bytes: room for a request of 1 MB and a
-/// document of 1 MB with their surroundings.
+/// Maximum size of a message from a peer, in words of 8 bytes. It leaves room for a request of 1 MB and
+/// a document of 1 MB with the other fields of their messages.
 const MESSAGE_LIMIT_WORDS: usize = 1 << 20;
 
-/// Options that bound what a message from a peer can make this side allocate.
+/// Reader options that bound how much a message from a peer can make this node allocate.
 pub(crate) fn reader_options() -> ReaderOptions {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MESSAGE_LIMIT_WORDS));
     options
 }
 
-/// Source of ids for calls that arrive, and the count of those that are not over. The ids have the highest
-/// bit set, so that they differ from the ids that the node gives to its own calls.
+/// Allocates ids for calls that arrive and counts the unfinished ones. The ids have the highest bit set,
+/// so that they differ from the ids that the node gives to its own calls.
 #[derive(Clone, Debug)]
 pub struct CallIds {
     next: Rc<Cell<u64>>,
@@ -58,7 +58,7 @@
         id
     }
 
-    /// Returns the number of calls whose peer has not received the whole answer yet.
+    /// Returns the number of calls whose answer the peer has not completely received.
     pub fn unfinished(&self) -> usize {
         self.unfinished.get()
     }
@@ -68,11 +68,11 @@
 pub enum AnswerPart {
     /// At most [`crate::CHUNK_BYTES`].
     Chunk(Bytes, ChunkPermit),
-    /// The end. The lane is the connection that stays pinned.
+    /// End of the answer, with the lane of a transaction that stays open.
     End(WorkReply, Option<LaneId>),
 }
 
-/// What a peer asks for.
+/// A call or notification from a peer, passed to the daemon.
 pub enum PeerRequest {
     Heartbeat {
         heartbeat: Heartbeat,
@@ -96,17 +96,18 @@
         work: Box<WorkRequest>,
         answers: mpsc::UnboundedSender<AnswerPart>,
     },
-    /// The peer wants the call cancelled and still waits for its end.
+    /// The peer asked to cancel the call and still waits for its reply.
     Cancelled {
         call: CallId,
     },
-    /// The peer dropped the call, or the link to it broke.
+    /// The peer dropped the call, or its connection was lost.
     Dropped {
         call: CallId,
     },
-    /// The peer has received all parts of a call's answer but the last, or the call was dropped.
+    /// The peer has received all chunks of a call's answer, so that only the reply remains, or the call
+    /// ended without an answer.
     Finished,
-    /// The peer dropped the lane, or the link to it broke.
+    /// The peer dropped the lane, or its connection was lost.
     LaneDropped {
         lane: LaneId,
     },
@@ -123,14 +124,14 @@
         reader_options(),
     );
     let mut system = RpcSystem::new(Box::new(network), Some(client.client));
-    // The end of a connection reaches the node through the calls and lanes that it cancels.
+    // The node learns of a lost connection from the calls and lanes that are dropped with it.
     system.set_background_error_handler(|_| {});
     pool.spawn(async move {
         let _ = system.await;
     });
 }
 
-fn no_answer<T>(_: T) -> Error {
+fn stopping_error<T>(_: T) -> Error {
     Error::overloaded("the node is stopping".to_owned())
 }
 
@@ -138,11 +139,11 @@
 struct PeerServer {
     requests: Fwd<PeerRequest>,
     ids: CallIds,
-    /// Calls in progress, by the peer's numbers.
+    /// Calls in progress, by the peer's call number.
     calls: Rc<RefCell<FastMap<u64, CallId>>>,
 }
 
-/// Counts a call until its answer is complete.
+/// Counts a call as unfinished until it is dropped.
 struct UnfinishedCall {
     server: PeerServer,
 }
@@ -163,15 +164,15 @@
     }
 }
 
-/// Reports a call that ends without an answer.
-struct CallWatch {
+/// Reports a call as dropped if it ends without an answer.
+struct DropReporter {
     call: CallId,
     number: u64,
     server: PeerServer,
     answered: bool,
 }
 
-impl Drop for CallWatch {
+impl Drop for DropReporter {
     fn drop(&mut self) {
         self.server.calls.borrow_mut().remove(&self.number);
         if !self.answered {
@@ -181,22 +182,22 @@
 }
 
 impl PeerServer {
-    async fn run(
+    async fn execute_request(
         self,
         from: Name,
         number: u64,
         lane: Option<LaneId>,
-        work: WorkRequest,
+        request: WorkRequest,
         sink: answer_sink::Client,
     ) -> Result<(WorkReply, Option<LaneId>), Error> {
         let _unfinished = UnfinishedCall::new(self.clone());
         let call = CallId(self.ids.next());
         let (answers, mut parts) = mpsc::unbounded();
         self.calls.borrow_mut().insert(number, call);
-        let mut watch = CallWatch { call, number, server: self.clone(), answered: false };
-        let work = Box::new(work);
+        let mut reporter = DropReporter { call, number, server: self.clone(), answered: false };
+        let work = Box::new(request);
         self.requests.fwd(PeerRequest::Execute { call, from, lane, work, answers });
-        // The window of the answer's source bounds how many writes are in flight.
+        // The flow-control window of the answer's source bounds the number of writes in flight.
         let mut writes = FuturesUnordered::new();
         let end = loop {
             futures::select! {
@@ -212,12 +213,12 @@
                         });
                     }
                     Some(AnswerPart::End(reply, lane)) => break (reply, lane),
-                    None => return Err(no_answer(())),
+                    None => return Err(stopping_error(())),
                 },
                 result = writes.select_next_some() => result?,
             }
         };
-        watch.answered = true;
+        reporter.answered = true;
         while let Some(result) = writes.next().await {
             result?;
         }
@@ -234,7 +235,7 @@
         let heartbeat = codec::read_heartbeat(params.get()?.get_heartbeat()?)?;
         let (reply, answer) = oneshot::channel();
         self.requests.fwd(PeerRequest::Heartbeat { heartbeat, reply });
-        let heartbeat = answer.await.map_err(no_answer)?;
+        let heartbeat = answer.await.map_err(stopping_error)?;
         codec::write_heartbeat(results.get().init_answer(), &heartbeat);
         Ok(())
     }
@@ -246,7 +247,7 @@
     ) -> Result<(), Error> {
         let (reply, answer) = oneshot::channel();
         self.requests.fwd(PeerRequest::PullTable { reply });
-        let members = answer.await.map_err(no_answer)?;
+        let members = answer.await.map_err(stopping_error)?;
         codec::write_members(results.get().init_members(members.len() as u32), &members);
         Ok(())
     }
@@ -259,7 +260,7 @@
         let document = params.get()?.get_document()?.to_str()?.into();
         let (reply, answer) = oneshot::channel();
         self.requests.fwd(PeerRequest::PullDocument { document, reply });
-        if let Some((revision, bytes)) = answer.await.map_err(no_answer)? {
+        if let Some((revision, bytes)) = answer.await.map_err(stopping_error)? {
             let mut document = results.get().init_document();
             document.set_revision(revision);
             document.set_bytes(&compress(&bytes)?);
@@ -275,7 +276,7 @@
         let cluster = params.get()?.get_cluster()?.to_str()?.into();
         let (reply, answer) = oneshot::channel();
         self.requests.fwd(PeerRequest::View { cluster, reply });
-        if let Some(view) = answer.await.map_err(no_answer)? {
+        if let Some(view) = answer.await.map_err(stopping_error)? {
             codec::write_view(results.get().init_view(), &view);
         }
         Ok(())
@@ -300,11 +301,13 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let from: Name = params.get_sender()?.to_str()?.into();
-        let work = codec::read_work(params.get_work()?)?;
+        let request = codec::read_routed_request(params.get_work()?)?;
         let sink = params.get_sink()?;
         let server = PeerServer::clone(&self);
-        let (reply, lane) =
-            server.clone().run(from.clone(), params.get_call(), None, work, sink).await?;
+        let (reply, lane) = server
+            .clone()
+            .execute_request(from.clone(), params.get_call(), None, request, sink)
+            .await?;
         let mut results = results.get();
         codec::write_reply(results.reborrow().init_reply(), &reply);
         if let Some(lane) = lane {
@@ -333,11 +336,12 @@
         mut results: lane::ExecuteResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let work = codec::read_work(params.get_work()?)?;
+        let request = codec::read_routed_request(params.get_work()?)?;
         let sink = params.get_sink()?;
         let (from, number) = (self.from.clone(), params.get_call());
-        let run = self.server.clone().run(from, number, Some(self.lane), work, sink);
-        let (reply, lane) = run.await?;
+        let answer =
+            self.server.clone().execute_request(from, number, Some(self.lane), request, sink);
+        let (reply, lane) = answer.await?;
         let mut results = results.get();
         codec::write_reply(results.reborrow().init_reply(), &reply);
         results.set_open(lane.is_some());
