--- a/crates/rpc/src/pool.rs
+++ b/crates/rpc/src/pool.rs
@@ -1,4 +1,4 @@
-//! Futures on the loop's thread.
+//! Runs futures on the event loop's thread.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -12,7 +12,7 @@
 use model::FastMap;
 use stakker::{Core, Deferrer};
 
-/// Runs futures from the stakker loop. Clones share one pool.
+/// Polls futures from the stakker event loop. Clones share one pool.
 #[derive(Clone)]
 pub struct TaskPool {
     state: Rc<PoolState>,
@@ -20,25 +20,26 @@
 
 struct PoolState {
     tasks: RefCell<FuturesUnordered<LocalBoxFuture<'static, ()>>>,
-    /// Apart from `tasks`, because a running task may spawn others.
+    /// Separate from `tasks`, which is borrowed while a running task may spawn others.
     spawned: RefCell<Vec<LocalBoxFuture<'static, ()>>>,
-    alarm: Arc<LoopWaker>,
+    loop_waker: Arc<LoopWaker>,
     waker: Waker,
 }
 
 thread_local! {
-    /// The pools of this thread. A waker must be `Send`, so it finds its pool by number.
+    /// The pools of this thread by id. A waker must be `Send`, so it holds the id instead of the pool.
     static POOLS: RefCell<FastMap<u64, (Deferrer, Weak<PoolState>)>> = RefCell::default();
 }
 
-static NEXT_POOL: AtomicU64 = AtomicU64::new(0);
+static NEXT_POOL_ID: AtomicU64 = AtomicU64::new(0);
 
-/// Schedules a poll. On the pool's own thread, which is the usual case, it is queued directly and
-/// needs no system call.
+/// Schedules a poll of the pool. On the pool's own thread, which is the usual case, the poll is queued
+/// directly and needs no system call.
 struct LoopWaker {
-    pool: u64,
+    pool_id: u64,
     scheduled: AtomicBool,
-    remote: stakker::Waker,
+    /// Wakes the event loop from another thread.
+    remote_waker: stakker::Waker,
 }
 
 impl LoopWaker {
@@ -48,7 +49,7 @@
         }
         let queued = POOLS.try_with(|pools| {
             let pools = pools.borrow();
-            let Some((deferrer, state)) = pools.get(&self.pool) else { return false };
+            let Some((deferrer, state)) = pools.get(&self.pool_id) else { return false };
             let state = state.clone();
             deferrer.defer(move |_| {
                 if let Some(state) = state.upgrade() {
@@ -58,7 +59,7 @@
             true
         });
         if !queued.unwrap_or(false) {
-            self.remote.wake();
+            self.remote_waker.wake();
         }
     }
 }
@@ -74,30 +75,34 @@
 }
 
 impl TaskPool {
-    /// Creates an empty pool. The loop must have a poll waker, as `stakker_mio::MioPoll` sets it up.
+    /// Creates an empty pool. The event loop must have a poll waker, which `stakker_mio::MioPoll` sets up.
     pub fn new(core: &mut Core) -> Self {
-        let pool = NEXT_POOL.fetch_add(1, Ordering::Relaxed);
+        let id = NEXT_POOL_ID.fetch_add(1, Ordering::Relaxed);
         let state = Rc::new_cyclic(|weak: &Weak<PoolState>| {
             let weak = weak.clone();
-            let remote = core.waker(move |_, _| {
+            let remote_waker = core.waker(move |_, _| {
                 if let Some(state) = weak.upgrade() {
                     state.poll();
                 }
             });
-            let alarm = Arc::new(LoopWaker { pool, scheduled: AtomicBool::new(false), remote });
+            let loop_waker = Arc::new(LoopWaker {
+                pool_id: id,
+                scheduled: AtomicBool::new(false),
+                remote_waker,
+            });
             PoolState {
                 tasks: RefCell::default(),
                 spawned: RefCell::default(),
-                waker: Waker::from(alarm.clone()),
-                alarm,
+                waker: Waker::from(loop_waker.clone()),
+                loop_waker,
             }
         });
         let entry = (core.deferrer(), Rc::downgrade(&state));
-        POOLS.with(|pools| pools.borrow_mut().insert(pool, entry));
+        POOLS.with(|pools| pools.borrow_mut().insert(id, entry));
         TaskPool { state }
     }
 
-    /// Adds a future; it is polled for the first time by the loop.
+    /// Adds a future. The event loop polls it for the first time.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.state.spawned.borrow_mut().push(Box::pin(task));
         self.state.waker.wake_by_ref();
@@ -109,7 +114,7 @@
         running + self.state.spawned.borrow().len()
     }
 
-    /// Tells whether all tasks are finished.
+    /// Returns whether all tasks are finished.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -117,7 +122,7 @@
 
 impl PoolState {
     fn poll(&self) {
-        self.alarm.scheduled.store(false, Ordering::Release);
+        self.loop_waker.scheduled.store(false, Ordering::Release);
         let Ok(mut tasks) = self.tasks.try_borrow_mut() else { return };
         let mut context = Context::from_waker(&self.waker);
         loop {
@@ -133,7 +138,7 @@
 
 impl Drop for PoolState {
     fn drop(&mut self) {
-        // Fails while the thread ends, when the table is gone as well.
-        let _ = POOLS.try_with(|pools| pools.borrow_mut().remove(&self.alarm.pool));
+        // Fails during thread shutdown if the thread-local table is already destroyed.
+        let _ = POOLS.try_with(|pools| pools.borrow_mut().remove(&self.loop_waker.pool_id));
     }
 }
