--- a/crates/rpc/src/stream.rs
+++ b/crates/rpc/src/stream.rs
@@ -1,4 +1,4 @@
-//! A socket of the loop as an asynchronous stream.
+//! Adapts a socket of the event loop to the asynchronous I/O traits.
 
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Read, Write};
@@ -12,7 +12,7 @@
 use stakker_mio::mio::net::TcpStream;
 use stakker_mio::{MioPoll, MioSource, Ready};
 
-/// A TCP stream of the loop. Clones share the socket, so that one can read and another write.
+/// A TCP stream of the event loop. Clones share the socket, so that one can read while another writes.
 #[derive(Clone)]
 pub struct RpcStream {
     state: Rc<RefCell<StreamState>>,
@@ -22,21 +22,21 @@
 struct StreamState {
     /// `None` after [`RpcStream::close`].
     source: Option<MioSource<TcpStream>>,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
-    written: bool,
+    read_waker: Option<Waker>,
+    write_waker: Option<Waker>,
+    has_written: bool,
 }
 
 impl StreamState {
     fn wake(&mut self) {
-        for waker in [self.reader.take(), self.writer.take()].into_iter().flatten() {
+        for waker in [self.read_waker.take(), self.write_waker.take()].into_iter().flatten() {
             waker.wake();
         }
     }
 }
 
 impl RpcStream {
-    /// Registers a connected or connecting stream with the loop.
+    /// Registers a connected or connecting stream with the event loop.
     ///
     /// # Errors
     ///
@@ -44,14 +44,15 @@
     pub fn new(poll: &MioPoll, stream: TcpStream) -> io::Result<Self> {
         let state = Rc::new(RefCell::new(StreamState::default()));
         let weak = Rc::downgrade(&state);
-        // Called from within the poll, so it only wakes: the socket is read when the pool runs.
+        // Runs inside the I/O poll, so it only wakes the tasks; they read the socket when the pool runs.
         let ready = Fwd::new(move |_: Ready| {
             if let Some(state) = weak.upgrade() {
                 state.borrow_mut().wake();
             }
         });
         let source = poll.add(stream, Interest::READABLE | Interest::WRITABLE, 10, ready)?;
-        // Fails on a socket that is still connecting on some systems; the option only saves delay.
+        // Some systems refuse the option on a socket that is still connecting; without it, small
+        // writes are only delayed.
         let _ = source.set_nodelay(true);
         state.borrow_mut().source = Some(source);
         Ok(RpcStream { state })
@@ -67,18 +68,18 @@
         drop(source);
     }
 
-    /// Tells whether any byte was passed to the socket.
+    /// Returns whether any byte was passed to the socket.
     pub fn has_written(&self) -> bool {
-        self.state.borrow().written
+        self.state.borrow().has_written
     }
 
-    /// Tells whether the stream was closed on this side.
+    /// Returns whether the stream was closed on this side.
     pub fn is_closed(&self) -> bool {
         self.state.borrow().source.is_none()
     }
 }
 
-fn closed() -> io::Error {
+fn closed_error() -> io::Error {
     io::Error::new(ErrorKind::ConnectionAborted, "the stream was closed")
 }
 
@@ -89,12 +90,12 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let mut state = self.state.borrow_mut();
-        let Some(source) = &mut state.source else { return Poll::Ready(Err(closed())) };
+        let Some(source) = &mut state.source else { return Poll::Ready(Err(closed_error())) };
         loop {
             match source.read(buffer) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    state.reader = Some(context.waker().clone());
+                    state.read_waker = Some(context.waker().clone());
                     return Poll::Pending;
                 }
                 result => return Poll::Ready(result),
@@ -110,19 +111,19 @@
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let mut state = self.state.borrow_mut();
-        let Some(source) = &mut state.source else { return Poll::Ready(Err(closed())) };
+        let Some(source) = &mut state.source else { return Poll::Ready(Err(closed_error())) };
         loop {
             match source.write(buffer) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // A connecting socket answers NotConnected on some systems.
+                // Some systems report NotConnected for a socket that is still connecting.
                 Err(error)
                     if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) =>
                 {
-                    state.writer = Some(context.waker().clone());
+                    state.write_waker = Some(context.waker().clone());
                     return Poll::Pending;
                 }
                 Ok(count) => {
-                    state.written = true;
+                    state.has_written = true;
                     return Poll::Ready(Ok(count));
                 }
                 Err(error) => return Poll::Ready(Err(error)),
