--- a/crates/rpc/src/compress.rs
+++ b/crates/rpc/src/compress.rs
@@ -1,5 +1,7 @@
-//! Documents between peers travel compressed: the configuration of the target's size has 230 KB and
-//! changes 410 times a day, which would be a quarter of what control work may send.
+//! Compression of documents sent between peers.
+//!
+//! At the target fleet size the configuration is 230 KB and changes 410 times a day. Uncompressed,
+//! that would use a quarter of the traffic budget for control messages.
 
 use std::io::{Read, Write};
 
@@ -8,8 +10,8 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// Largest document. The platform's values have at most 1 MB.
-const DOCUMENT_LIMIT: u64 = 2 * 1024 * 1024;
+/// Maximum size of a decompressed document. The platform stores values of at most 1 MB.
+const DOCUMENT_LIMIT_BYTES: u64 = 2 * 1024 * 1024;
 
 pub(crate) fn compress(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -17,12 +19,12 @@
     Ok(encoder.finish()?)
 }
 
-/// Fails if the bytes are not compressed or the document is too large.
+/// Fails if the data is not valid DEFLATE or the document exceeds [`DOCUMENT_LIMIT_BYTES`].
 pub(crate) fn decompress(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let mut document = Vec::new();
-    DeflateDecoder::new(bytes).take(DOCUMENT_LIMIT + 1).read_to_end(&mut document)?;
-    if document.len() as u64 > DOCUMENT_LIMIT {
-        return Err(Error::failed(format!("a document of more than {DOCUMENT_LIMIT} bytes")));
+    DeflateDecoder::new(bytes).take(DOCUMENT_LIMIT_BYTES + 1).read_to_end(&mut document)?;
+    if document.len() as u64 > DOCUMENT_LIMIT_BYTES {
+        return Err(Error::failed(format!("document exceeds {DOCUMENT_LIMIT_BYTES} bytes")));
     }
     Ok(document)
 }
--- a/crates/rpc/src/dial.rs
+++ b/crates/rpc/src/dial.rs
@@ -1,14 +1,15 @@
-//! Address translation for fault tests.
+//! Address translation for fault-injection tests.
 
 use std::net::SocketAddr;
 
 /// Returns the address to connect to in order to reach `address`.
 ///
 /// A release build returns `address`. A build with debug assertions looks it up in the file named by
-/// the variable `CICADAWICK_TEST_DIAL`, which has lines of the form `ADDRESS VIA`. A test can thereby
-/// put a relay on each link of each node, and cut one link without the others: nodes learn each
-/// other's and the databases' addresses from shared documents, so a relay cannot be named there per
-/// node. A file that cannot be read translates nothing.
+/// the environment variable `CICADAWICK_TEST_DIAL`, which has lines of the form `ADDRESS VIA`. If the
+/// file cannot be read, addresses are not translated.
+///
+/// A test can thereby put a relay on each connection of each node and cut a single one. The shared
+/// documents from which nodes learn addresses cannot name a relay per node.
 ///
 /// ```
 /// let address = "10.0.0.5:5432".parse()?;
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,13 +1,16 @@
-//! capnp-rpc over non-blocking streams polled from the stakker loop.
+//! The protocol between nodes: capnp-rpc over non-blocking sockets of the stakker event loop.
 //!
-//! [`TaskPool`] runs the futures of capnp-rpc on the loop's thread: a waker schedules a poll of the
-//! pool, so no other executor or thread is needed. [`RpcStream`] gives capnp-rpc a stream over a
-//! `stakker_mio` socket. [`PeerClients`] calls peers over one connection each; [`serve_peer`] answers
-//! a peer's calls by passing [`PeerRequest`]s to the daemon.
+//! [`TaskPool`] runs the futures of capnp-rpc on the event loop's thread: a waker schedules a poll of
+//! the pool, so no other executor or thread is needed. [`RpcStream`] adapts a `stakker_mio` socket to
+//! the stream type that capnp-rpc expects. [`PeerClients`] calls each peer over one connection;
+//! [`serve_peer`] answers a peer's calls by passing [`PeerRequest`]s to the daemon.
 //!
-//! An answer travels in chunks of at most [`CHUNK_BYTES`]. Each chunk has a [`ChunkPermit`], which
-//! returns its share of the source's window when the chunk was written to the caller's socket or
-//! dropped. A slow caller therefore stops the source, across the link as well.
+//! A *lane* is the backend connection that a peer keeps pinned for an open transaction. Later requests
+//! of the transaction are calls on its [`LaneHandle`].
+//!
+//! An answer is sent in chunks of at most [`CHUNK_BYTES`]. Each chunk has a [`ChunkPermit`], which
+//! returns the chunk's share of the source's flow-control window once the chunk is written to the
+//! client's socket or dropped. A slow client therefore stops the source, also from one node to another.
 
 mod client;
 mod codec;
@@ -27,5 +30,5 @@
 pub use size::{document_bytes, heartbeat_bytes, members_bytes};
 pub use stream::RpcStream;
 
-/// Largest part of an answer in one message.
+/// Maximum size of one chunk of an answer.
 pub const CHUNK_BYTES: usize = 64 * 1024;
--- a/crates/rpc/src/permit.rs
+++ b/crates/rpc/src/permit.rs
@@ -1,6 +1,6 @@
-//! Flow control of answers.
+//! Flow control for chunks of answers.
 
-/// Holds a chunk's share of its source's window; drop returns it.
+/// Holds a chunk's share of its source's flow-control window and returns it on drop.
 ///
 /// ```
 /// use std::{cell::Cell, rc::Rc};
--- a/crates/rpc/src/size.rs
+++ b/crates/rpc/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes of encoded messages, for measurements without a socket.
+//! Sizes of encoded messages, computed without a socket.
 
 use capnp::message::Builder;
 use capnp::serialize::compute_serialized_size_in_words;
@@ -41,8 +41,8 @@
     compute_serialized_size_in_words(&message) * WORD_BYTES
 }
 
-/// Returns the size of a document as a peer sends it, in bytes, without the envelope of an answer. 0 if
-/// it cannot be compressed for lack of memory.
+/// Returns the compressed size of a document in bytes, without the envelope of an answer. Returns 0 if
+/// the document cannot be compressed for lack of memory.
 ///
 /// ```
 /// assert!(rpc::document_bytes(&[b'a'; 10_000]) < 1_000);
