--- a/crates/rpc/tests/peers.rs
+++ b/crates/rpc/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Calls between two sides over loopback, in one loop.
+//! Calls between a client and a server over loopback, in one event loop.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,9 +22,9 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-type Answer = Result<ForwardReply, PeerCallError>;
+type ForwardResult = Result<ForwardReply, PeerCallError>;
 
-struct Rig {
+struct PeerHarness {
     stakker: Stakker,
     poll: MioPoll,
     listener: std::net::TcpListener,
@@ -33,7 +33,7 @@
     requests: Rc<RefCell<Vec<PeerRequest>>>,
 }
 
-impl Rig {
+impl PeerHarness {
     fn new() -> Self {
         let mut stakker = Stakker::new(Instant::now());
         let events = Events::with_capacity(64);
@@ -41,7 +41,7 @@
         let pool = TaskPool::new(&mut stakker);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let clients = PeerClients::new(pool.clone());
-        Rig { stakker, poll, listener, pool, clients, requests: Rc::default() }
+        PeerHarness { stakker, poll, listener, pool, clients, requests: Rc::default() }
     }
 
     /// Accepts the client's connection, which must have been opened.
@@ -58,7 +58,7 @@
     fn run_until(&mut self, mut done: impl FnMut() -> bool) {
         let deadline = Instant::now() + TIMEOUT;
         while !done() {
-            assert!(Instant::now() < deadline, "not done in time");
+            assert!(Instant::now() < deadline, "condition not met within {TIMEOUT:?}");
             self.stakker.run(Instant::now(), false);
             self.poll.poll(Duration::from_millis(1)).unwrap();
         }
@@ -70,7 +70,7 @@
         requests.borrow_mut().remove(0)
     }
 
-    /// Expects the report that a call's answer is complete, or that the call is over without one.
+    /// Expects the notification that a call's answer is complete or that the call ended without one.
     fn expect_finished(&mut self) {
         assert!(matches!(self.next_request(), PeerRequest::Finished));
     }
@@ -85,7 +85,7 @@
     }
 }
 
-fn work() -> WorkRequest {
+fn routed_request() -> WorkRequest {
     WorkRequest {
         database: "billing-1".into(),
         caller: "vendor/till/10.0.0.1".into(),
@@ -132,7 +132,7 @@
 
 #[test]
 fn heartbeat_arrives_unchanged_and_is_answered() {
-    let mut rig = Rig::new();
+    let mut harness = PeerHarness::new();
     let sent = Heartbeat {
         from: member("node-1"),
         digest: 5,
@@ -141,69 +141,69 @@
     };
     let answer = Rc::new(RefCell::new(None));
     let slot = answer.clone();
-    let address = rig.listener.local_addr().unwrap();
-    rig.clients.heartbeat(&mut rig.stakker, address, &sent, TIMEOUT, move |result| {
+    let address = harness.listener.local_addr().unwrap();
+    harness.clients.heartbeat(&mut harness.stakker, address, &sent, TIMEOUT, move |result| {
         *slot.borrow_mut() = Some(result);
     });
-    rig.accept();
-    let PeerRequest::Heartbeat { heartbeat, reply } = rig.next_request() else { panic!() };
+    harness.accept();
+    let PeerRequest::Heartbeat { heartbeat, reply } = harness.next_request() else { panic!() };
     assert_eq!(heartbeat, sent);
     reply.send(heartbeat).unwrap();
     let arrived = answer.clone();
-    rig.run_until(|| arrived.borrow().is_some());
+    harness.run_until(|| arrived.borrow().is_some());
     assert_eq!(answer.take(), Some(Ok(sent)));
 }
 
-struct Forwarded {
+struct ForwardedCall {
     received: Rc<RefCell<Vec<(Bytes, ChunkPermit)>>>,
-    answer: Rc<RefCell<Option<Answer>>>,
+    answer: Rc<RefCell<Option<ForwardResult>>>,
     guard: Option<rpc::CallGuard>,
 }
 
-fn forward(rig: &mut Rig, lane: Option<&rpc::LaneHandle>) -> Forwarded {
+fn forward(harness: &mut PeerHarness, lane: Option<&rpc::LaneHandle>) -> ForwardedCall {
     let received = Rc::new(RefCell::new(Vec::new()));
     let answer = Rc::new(RefCell::new(None));
     let (chunks, slot) = (received.clone(), answer.clone());
     let chunks = move |bytes, permit| chunks.borrow_mut().push((bytes, permit));
     let done = move |result| *slot.borrow_mut() = Some(result);
-    let address = rig.listener.local_addr().unwrap();
-    let (clients, core) = (rig.clients.clone(), &mut rig.stakker);
+    let address = harness.listener.local_addr().unwrap();
+    let (clients, core) = (harness.clients.clone(), &mut harness.stakker);
     let guard = match lane {
-        None => clients.execute(core, address, "node-1", &work(), TIMEOUT, chunks, done),
-        Some(lane) => clients.execute_on_lane(core, lane, &work(), TIMEOUT, chunks, done),
+        None => clients.execute(core, address, "node-1", &routed_request(), TIMEOUT, chunks, done),
+        Some(lane) => clients.execute_on_lane(core, lane, &routed_request(), TIMEOUT, chunks, done),
     };
-    Forwarded { received, answer, guard: Some(guard) }
+    ForwardedCall { received, answer, guard: Some(guard) }
 }
 
 #[test]
-fn chunks_arrive_in_order_and_permits_wait_for_the_caller() {
-    let mut rig = Rig::new();
-    let forwarded = forward(&mut rig, None);
-    rig.accept();
-    let (_, lane, arrived, answers) = rig.next_execute();
-    assert_eq!((lane, arrived), (None, work()));
-    let returned = Rc::new(Cell::new(0));
+fn chunks_arrive_in_order_and_permits_are_held_until_delivery() {
+    let mut harness = PeerHarness::new();
+    let forwarded = forward(&mut harness, None);
+    harness.accept();
+    let (_, lane, arrived, answers) = harness.next_execute();
+    assert_eq!((lane, arrived), (None, routed_request()));
+    let released = Rc::new(Cell::new(0));
     for index in 0..4u8 {
-        let count = returned.clone();
+        let count = released.clone();
         let permit = ChunkPermit::new(move || count.set(count.get() + 1));
         let chunk = Bytes::from(vec![index; rpc::CHUNK_BYTES]);
         answers.unbounded_send(AnswerPart::Chunk(chunk, permit)).ok().unwrap();
     }
     answers.unbounded_send(AnswerPart::End(done_reply(), None)).ok().unwrap();
     let received = forwarded.received.clone();
-    rig.run_until(|| received.borrow().len() == 4);
+    harness.run_until(|| received.borrow().len() == 4);
     for _ in 0..20 {
-        rig.stakker.run(Instant::now(), false);
-        rig.poll.poll(Duration::from_millis(1)).unwrap();
+        harness.stakker.run(Instant::now(), false);
+        harness.poll.poll(Duration::from_millis(1)).unwrap();
     }
-    assert_eq!(returned.get(), 0, "a permit returned before the caller took the chunk");
+    assert_eq!(released.get(), 0, "a permit was released before its chunk was delivered");
     assert!(forwarded.answer.borrow().is_none());
-    let firsts: Vec<u8> = received.borrow().iter().map(|(bytes, _)| bytes[0]).collect();
-    assert_eq!(firsts, [0, 1, 2, 3]);
+    let first_bytes: Vec<u8> = received.borrow().iter().map(|(bytes, _)| bytes[0]).collect();
+    assert_eq!(first_bytes, [0, 1, 2, 3]);
     received.borrow_mut().clear();
     let answer = forwarded.answer.clone();
-    rig.run_until(|| answer.borrow().is_some());
-    assert_eq!(returned.get(), 4);
+    harness.run_until(|| answer.borrow().is_some());
+    assert_eq!(released.get(), 4);
     let reply = answer.take().unwrap().ok().unwrap();
     assert_eq!(reply.reply, done_reply());
     assert!(reply.lane.is_none());
@@ -211,57 +211,57 @@
 
 #[test]
 fn cancelled_call_is_still_answered_and_dropped_call_is_reported() {
-    let mut rig = Rig::new();
-    let mut forwarded = forward(&mut rig, None);
-    rig.accept();
-    let (call, _, _, answers) = rig.next_execute();
+    let mut harness = PeerHarness::new();
+    let mut forwarded = forward(&mut harness, None);
+    harness.accept();
+    let (call, _, _, answers) = harness.next_execute();
     forwarded.guard.as_ref().unwrap().cancel();
-    assert!(matches!(rig.next_request(), PeerRequest::Cancelled { call: id } if id == call));
+    assert!(matches!(harness.next_request(), PeerRequest::Cancelled { call: id } if id == call));
     answers.unbounded_send(AnswerPart::End(done_reply(), None)).ok().unwrap();
     let answer = forwarded.answer.clone();
-    rig.run_until(|| answer.borrow().is_some());
+    harness.run_until(|| answer.borrow().is_some());
     assert!(answer.take().unwrap().is_ok());
-    rig.expect_finished();
+    harness.expect_finished();
     drop(forwarded.guard.take());
 
-    let mut forwarded = forward(&mut rig, None);
-    let (call, _, _, _answers) = rig.next_execute();
+    let mut forwarded = forward(&mut harness, None);
+    let (call, _, _, _answers) = harness.next_execute();
     drop(forwarded.guard.take());
-    assert!(matches!(rig.next_request(), PeerRequest::Dropped { call: id } if id == call));
-    rig.expect_finished();
+    assert!(matches!(harness.next_request(), PeerRequest::Dropped { call: id } if id == call));
+    harness.expect_finished();
     assert!(forwarded.answer.borrow().is_none());
 }
 
 #[test]
-fn lane_is_released_when_dropped_and_when_the_link_breaks() {
-    for link_breaks in [false, true] {
-        let mut rig = Rig::new();
-        let forwarded = forward(&mut rig, None);
-        let stream = rig.accept();
-        let (_, _, _, answers) = rig.next_execute();
+fn lane_is_released_when_dropped_and_when_the_connection_breaks() {
+    for connection_breaks in [false, true] {
+        let mut harness = PeerHarness::new();
+        let forwarded = forward(&mut harness, None);
+        let stream = harness.accept();
+        let (_, _, _, answers) = harness.next_execute();
         answers.unbounded_send(AnswerPart::End(done_reply(), Some(LaneId(4)))).ok().unwrap();
         let answer = forwarded.answer.clone();
-        rig.run_until(|| answer.borrow().is_some());
+        harness.run_until(|| answer.borrow().is_some());
         let lane = answer.take().unwrap().ok().unwrap().lane.unwrap();
-        rig.expect_finished();
-        let second = forward(&mut rig, Some(&lane));
-        let (_, on, _, answers) = rig.next_execute();
+        harness.expect_finished();
+        let second = forward(&mut harness, Some(&lane));
+        let (_, on, _, answers) = harness.next_execute();
         assert_eq!(on, Some(LaneId(4)));
-        if link_breaks {
+        if connection_breaks {
             stream.close();
             drop(answers);
             let answer = second.answer.clone();
-            rig.run_until(|| answer.borrow().is_some());
+            harness.run_until(|| answer.borrow().is_some());
             assert!(answer.take().unwrap().err().unwrap().may_have_arrived());
         } else {
             answers.unbounded_send(AnswerPart::End(done_reply(), None)).ok().unwrap();
             let answer = second.answer.clone();
-            rig.run_until(|| answer.borrow().is_some());
+            harness.run_until(|| answer.borrow().is_some());
             assert!(answer.take().unwrap().ok().unwrap().lane.is_none());
         }
         drop(lane);
-        let requests = rig.requests.clone();
-        rig.run_until(|| {
+        let requests = harness.requests.clone();
+        harness.run_until(|| {
             requests.borrow().iter().any(|request| {
                 matches!(request, PeerRequest::LaneDropped { lane } if *lane == LaneId(4))
             })
@@ -271,40 +271,40 @@
 
 #[test]
 fn refused_connection_is_reported_as_not_sent_and_the_next_call_reconnects() {
-    let mut rig = Rig::new();
-    let address = rig.listener.local_addr().unwrap();
-    rig.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut harness = PeerHarness::new();
+    let address = harness.listener.local_addr().unwrap();
+    harness.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let failure = Rc::new(RefCell::new(None));
     let slot = failure.clone();
-    rig.clients.view(&mut rig.stakker, address, "billing", TIMEOUT, move |result| {
+    harness.clients.view(&mut harness.stakker, address, "billing", TIMEOUT, move |result| {
         *slot.borrow_mut() = Some(result);
     });
     let arrived = failure.clone();
-    rig.run_until(|| arrived.borrow().is_some());
+    harness.run_until(|| arrived.borrow().is_some());
     let error = failure.take().unwrap().unwrap_err();
     assert!(!error.may_have_arrived(), "{error}");
 
-    rig.listener = std::net::TcpListener::bind(address).unwrap();
-    let forwarded = forward(&mut rig, None);
-    rig.accept();
-    let (_, _, _, answers) = rig.next_execute();
+    harness.listener = std::net::TcpListener::bind(address).unwrap();
+    let forwarded = forward(&mut harness, None);
+    harness.accept();
+    let (_, _, _, answers) = harness.next_execute();
     answers.unbounded_send(AnswerPart::End(done_reply(), None)).ok().unwrap();
     let answer = forwarded.answer.clone();
-    rig.run_until(|| answer.borrow().is_some());
+    harness.run_until(|| answer.borrow().is_some());
     assert!(answer.take().unwrap().is_ok());
 }
 
 #[test]
 fn silent_peer_times_out() {
-    let mut rig = Rig::new();
+    let mut harness = PeerHarness::new();
     let failure = Rc::new(RefCell::new(None));
     let slot = failure.clone();
-    let address = rig.listener.local_addr().unwrap();
+    let address = harness.listener.local_addr().unwrap();
     let timeout = Duration::from_millis(50);
-    rig.clients.pull_table(&mut rig.stakker, address, timeout, move |result| {
+    harness.clients.pull_table(&mut harness.stakker, address, timeout, move |result| {
         *slot.borrow_mut() = Some(result);
     });
     let arrived = failure.clone();
-    rig.run_until(|| arrived.borrow().is_some());
+    harness.run_until(|| arrived.borrow().is_some());
     assert_eq!(failure.take().unwrap().unwrap_err(), PeerCallError::TimedOut { address });
 }
