--- a/crates/pg/src/extended.rs
+++ b/crates/pg/src/extended.rs
@@ -1,19 +1,21 @@
-//! Named statements over shared connections.
+//! Prepared statements over shared connections.
 //!
-//! A caller's statement names are its own, but connections to backend servers are shared. The session
-//! keeps the caller's names ([`StatementTable`]) and refers to each text by a name derived from its
-//! hash. The connection ([`ConnectionStatements`]) knows which of these names it has prepared.
+//! Statement names are private to a client's session, but connections to backend servers are shared.
+//! The session maps the client's names to statement texts ([`StatementTable`]) and refers to each text
+//! by a shared name, which is derived from a hash of the text. The connection
+//! ([`ConnectionStatements`]) tracks which shared names it has prepared.
 //!
-//! The messages between the two are ordinary protocol messages, so that they pass through queues and
-//! peers unchanged. What the connection must do with a `Parse` follows from its place:
+//! Session and connection exchange ordinary protocol messages, so that these pass through queues and
+//! peers unchanged. The connection tells the cases of `Parse` and `Close` apart by their order and names:
 //!
-//! - `Close(S, hashed)` directly before `Parse(hashed)`: the caller's own `Parse`. Both are sent, the
-//!   `CloseComplete` is swallowed. The backend server parses again, so its errors are the caller's.
-//! - `Parse(hashed)` without it: added by the session. Dropped if the connection has the statement,
-//!   else sent, and its `ParseComplete` is swallowed.
-//! - `Parse(name, "")` with a name that is not hashed: the caller parses a name that it already holds.
-//!   The first one is swallowed and makes the second one, which follows, fail as it would directly.
-//! - `Close(S, none)`: the caller closes a name of its own, which the connection does not know.
+//! - `Close(S, shared)` directly before `Parse(shared)`: the client's own `Parse`. Both are sent and the
+//!   `CloseComplete` is not relayed. The backend server parses again, so the client sees its errors.
+//! - `Parse(shared)` without that `Close`: added by the session. It is dropped if the connection has the
+//!   statement, otherwise sent, and its `ParseComplete` is not relayed.
+//! - `Parse(name, "")` with a name that is not shared: the client parses a name that it already uses.
+//!   The answer to this `Parse` is not relayed. It makes the client's own `Parse`, which follows, fail
+//!   as it would on a direct connection.
+//! - `Close(S, cicadawick_none)`: the client closes a name of its own, which the connection does not know.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -26,21 +28,21 @@
 use crate::message::{put_close, put_parse, put_sync};
 use crate::read::{BodyError, read_bind, read_parse, read_target};
 
-/// Prefix of the names that are derived from a statement's text.
+/// Prefix of the shared names, which are derived from a statement's text.
 pub const STATEMENT_PREFIX: &str = "cicadawick_";
 
-/// Stands for a statement that no connection has.
-const NO_STATEMENT: &str = "cicadawick_none";
+/// Name of a statement that no connection has.
+const MISSING_STATEMENT: &str = "cicadawick_none";
 
-/// Text of a request that refers only to statements that the session does not have. The request goes
-/// to a backend server, which makes the error and fails the caller's transaction.
-const MISSING_TEXT: &str = "SELECT";
+/// Text of a request that refers only to statements that the session does not have. The request is sent
+/// to a backend server, which reports the error and fails the client's transaction.
+const MISSING_STATEMENT_TEXT: &str = "SELECT";
 
-/// Bounds of a session's statements.
+/// Limits on the prepared statements of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementLimits {
     pub statements: usize,
-    /// Of names, texts and types together.
+    /// Total size of names, texts and types.
     pub bytes: usize,
 }
 
@@ -50,31 +52,31 @@
     }
 }
 
-/// Extended messages that cannot become a request.
+/// Error for messages of the extended protocol that cannot be turned into a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExtendedError {
     #[error(transparent)]
     Body(#[from] BodyError),
     #[error("invalid frontend message type {kind}")]
-    BadKind { kind: u8 },
-    #[error("more than {limit} prepared statements or {bytes} bytes of them in one session")]
+    InvalidKind { kind: u8 },
+    #[error("session exceeds {limit} prepared statements or {bytes} bytes of statement data")]
     TooMany { limit: usize, bytes: usize },
 }
 
 impl ExtendedError {
-    /// Returns the SQLSTATE that tells a caller of the error.
+    /// Returns the SQLSTATE that reports the error to a client.
     pub fn code(&self) -> &'static str {
         match self {
-            ExtendedError::Body(_) | ExtendedError::BadKind { .. } => "08P01",
+            ExtendedError::Body(_) | ExtendedError::InvalidKind { .. } => "08P01",
             ExtendedError::TooMany { .. } => "54000",
         }
     }
 }
 
-/// A request for the node.
+/// A rewritten request for the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExtendedRequest {
-    /// Statements that the messages parse, bind or describe, separated by `;` and a line end.
+    /// Texts of the statements that the messages parse, bind or describe, separated by `;` and a newline.
     pub text: String,
     /// The rewritten messages with a final `Sync`.
     pub frames: Bytes,
@@ -82,44 +84,44 @@
 
 #[derive(Debug, PartialEq, Eq)]
 struct StatementText {
-    hashed: String,
+    shared_name: String,
     query: Box<str>,
     types: Box<[u8]>,
 }
 
 impl StatementText {
     fn new(query: &str, types: &[u8]) -> Self {
-        // A cryptographic hash, because two texts with one name would run each other's statements.
+        // The hash is cryptographic: if two texts had one name, a session could run another's statement.
         let digest = Sha256::new().chain_update(types).chain_update(query).finalize();
-        let mut hashed = String::with_capacity(STATEMENT_PREFIX.len() + 32);
-        hashed.push_str(STATEMENT_PREFIX);
+        let mut shared_name = String::with_capacity(STATEMENT_PREFIX.len() + 32);
+        shared_name.push_str(STATEMENT_PREFIX);
         for byte in &digest[..16] {
-            hashed.push_str(&format!("{byte:02x}"));
+            shared_name.push_str(&format!("{byte:02x}"));
         }
-        StatementText { hashed, query: query.into(), types: types.into() }
+        StatementText { shared_name, query: query.into(), types: types.into() }
     }
 
     fn bytes(&self, name: &str) -> usize {
-        name.len() + self.hashed.len() + self.query.len() + self.types.len()
+        name.len() + self.shared_name.len() + self.query.len() + self.types.len()
     }
 }
 
-/// A change of the table that takes effect with its completion message.
+/// A change of the table that takes effect when its completion message arrives.
 #[derive(Debug)]
 enum PendingChange {
     Parsed(Box<str>, Arc<StatementText>),
     Closed(Box<str>),
-    /// A completion that changes nothing here.
-    Nothing,
+    /// The completion changes nothing in the table.
+    Unchanged,
 }
 
-/// The prepared statements of one caller's session.
+/// The prepared statements of a client's session.
 ///
 /// ```
 /// let mut buffer = bytes::BytesMut::new();
 /// pg::put_parse(&mut buffer, "balance", "SELECT 1", &[]);
 /// let splitter = pg::FrameSplitter::new(1024);
-/// let frame = splitter.split(&mut buffer)?.expect("a whole frame");
+/// let frame = splitter.split(&mut buffer)?.expect("a complete frame");
 /// let mut table = pg::StatementTable::default();
 /// let request = table.rewrite(&[frame])?;
 /// assert_eq!(request.text, "SELECT 1");
@@ -146,23 +148,23 @@
         self.statements.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether there are no statements.
     pub fn is_empty(&self) -> bool {
         self.statements.is_empty()
     }
 
-    /// Returns the size of names, texts and types in bytes.
+    /// Returns the total size of names, texts and types in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// A simple query destroys the unnamed statement.
+    /// Removes the unnamed statement, which a simple query destroys.
     pub fn simple_query(&mut self) {
         self.remove("");
         self.pending.clear();
     }
 
-    /// Rewrites the messages of one request, without its `Sync`.
+    /// Rewrites the messages of one request, given without its `Sync`.
     ///
     /// # Errors
     ///
@@ -170,7 +172,7 @@
     /// table would exceed its limits.
     pub fn rewrite(&mut self, messages: &[Frame]) -> Result<ExtendedRequest, ExtendedError> {
         self.pending.clear();
-        let mut rewriter = Rewriter {
+        let mut rewriter = RequestRewriter {
             table: self,
             overlay: Vec::new(),
             texts: Vec::new(),
@@ -178,24 +180,30 @@
             prelude: BytesMut::new(),
             frames: BytesMut::new(),
             pending: VecDeque::new(),
-            missing: false,
+            has_missing: false,
         };
         for message in messages {
-            rewriter.message(message)?;
+            rewriter.rewrite_message(message)?;
         }
-        let Rewriter {
-            overlay, texts, prelude: mut frames, frames: rest, pending, missing, ..
+        let RequestRewriter {
+            overlay,
+            texts,
+            prelude: mut frames,
+            frames: rest,
+            pending,
+            has_missing,
+            ..
         } = rewriter;
-        let mut after: BTreeMap<&str, &StatementText> =
+        let mut after_request: BTreeMap<&str, &StatementText> =
             self.statements.iter().map(|(name, text)| (&**name, &**text)).collect();
         for (name, text) in &overlay {
             match text {
-                Some(text) => after.insert(name, text),
-                None => after.remove(&**name),
+                Some(text) => after_request.insert(name, text),
+                None => after_request.remove(&**name),
             };
         }
-        let bytes: usize = after.iter().map(|(name, text)| text.bytes(name)).sum();
-        if after.len() > self.limits.statements || bytes > self.limits.bytes {
+        let bytes: usize = after_request.iter().map(|(name, text)| text.bytes(name)).sum();
+        if after_request.len() > self.limits.statements || bytes > self.limits.bytes {
             let StatementLimits { statements: limit, bytes } = self.limits;
             return Err(ExtendedError::TooMany { limit, bytes });
         }
@@ -203,14 +211,14 @@
         frames.unsplit(rest);
         put_sync(&mut frames);
         let texts: Vec<&str> = texts.iter().map(|text| &*text.query).collect();
-        let text = match missing && texts.is_empty() {
-            true => MISSING_TEXT.to_owned(),
+        let text = match has_missing && texts.is_empty() {
+            true => MISSING_STATEMENT_TEXT.to_owned(),
             false => texts.join(";\n"),
         };
         Ok(ExtendedRequest { text, frames: frames.freeze() })
     }
 
-    /// Takes note of a message that was relayed to the caller.
+    /// Records the type of a message that was relayed to the client.
     pub fn answered(&mut self, answer_kind: u8) {
         match answer_kind {
             kind::PARSE_COMPLETE | kind::CLOSE_COMPLETE => match self.pending.pop_front() {
@@ -220,9 +228,9 @@
                     self.statements.push((name, text));
                 }
                 Some(PendingChange::Closed(name)) => self.remove(&name),
-                Some(PendingChange::Nothing) | None => {}
+                Some(PendingChange::Unchanged) | None => {}
             },
-            // The backend server skips what follows an error up to the Sync.
+            // After an error the backend server skips all messages up to the Sync.
             kind::ERROR => self.pending.clear(),
             _ => {}
         }
@@ -243,27 +251,28 @@
     }
 }
 
-struct Rewriter<'a> {
+struct RequestRewriter<'a> {
     table: &'a StatementTable,
-    /// Names that the request itself parses or closes.
+    /// Names that the request itself parses (`Some`) or closes (`None`).
     overlay: Vec<(Box<str>, Option<Arc<StatementText>>)>,
     texts: Vec<Arc<StatementText>>,
-    /// Texts that are prepared at this point of the request; `None` is the unnamed statement.
+    /// Statements that are prepared at this point of the request; `None` is the unnamed statement.
     parsed: Vec<Option<Arc<StatementText>>>,
+    /// `Parse` messages that the session adds before the client's messages.
     prelude: BytesMut,
     frames: BytesMut,
     pending: VecDeque<PendingChange>,
     /// The request refers to a statement that the session does not have.
-    missing: bool,
+    has_missing: bool,
 }
 
-impl Rewriter<'_> {
-    fn message(&mut self, message: &Frame) -> Result<(), ExtendedError> {
+impl RequestRewriter<'_> {
+    fn rewrite_message(&mut self, message: &Frame) -> Result<(), ExtendedError> {
         match message.kind {
-            kind::PARSE => self.parse(message),
+            kind::PARSE => self.rewrite_parse(message),
             kind::BIND => {
                 let bind = read_bind(message.body())?;
-                let name = self.reference(bind.statement);
+                let name = self.backend_name(bind.statement);
                 let length = 4 + bind.portal.len() + 1 + name.len() + 1 + bind.rest.len();
                 self.frames.reserve(length + 1);
                 self.frames.put_u8(kind::BIND);
@@ -281,7 +290,7 @@
                     self.frames.put_slice(&message.bytes);
                     return Ok(());
                 }
-                let name = self.reference(name);
+                let name = self.backend_name(name);
                 self.frames.put_u8(kind::DESCRIBE);
                 self.frames.put_i32((4 + 1 + name.len() + 1) as i32);
                 self.frames.put_u8(target);
@@ -293,10 +302,10 @@
                 let (target, name) = read_target(message.body())?;
                 if target == b'P' {
                     self.frames.put_slice(&message.bytes);
-                    self.pending.push_back(PendingChange::Nothing);
+                    self.pending.push_back(PendingChange::Unchanged);
                     return Ok(());
                 }
-                let sent = if name.is_empty() { "" } else { NO_STATEMENT };
+                let sent = if name.is_empty() { "" } else { MISSING_STATEMENT };
                 put_close(&mut self.frames, b'S', sent);
                 self.overlay.push((name.into(), None));
                 self.pending.push_back(PendingChange::Closed(name.into()));
@@ -306,15 +315,15 @@
                 self.frames.put_slice(&message.bytes);
                 Ok(())
             }
-            // The shell cuts requests at Flush where it must, and outside COPY these are ignored.
+            // The shell splits requests at Flush where it must. The others are ignored outside COPY.
             kind::FLUSH | kind::SYNC | kind::COPY_DATA | kind::COPY_DONE | kind::COPY_FAIL => {
                 Ok(())
             }
-            kind => Err(ExtendedError::BadKind { kind }),
+            kind => Err(ExtendedError::InvalidKind { kind }),
         }
     }
 
-    fn parse(&mut self, message: &Frame) -> Result<(), ExtendedError> {
+    fn rewrite_parse(&mut self, message: &Frame) -> Result<(), ExtendedError> {
         let body = read_parse(message.body())?;
         let text = Arc::new(StatementText::new(body.query, body.types));
         self.texts.push(text.clone());
@@ -323,14 +332,14 @@
             self.parsed.retain(|parsed| parsed.is_some());
             self.parsed.push(None);
         } else if self.lookup(body.name).is_some() {
-            let name = guarded(body.name);
+            let name = avoid_shared_name(body.name);
             put_parse(&mut self.frames, &name, "", &[]);
             put_parse(&mut self.frames, &name, body.query, body.types);
-            self.pending.push_back(PendingChange::Nothing);
+            self.pending.push_back(PendingChange::Unchanged);
             return Ok(());
         } else {
-            put_close(&mut self.frames, b'S', &text.hashed);
-            put_parse(&mut self.frames, &text.hashed, body.query, body.types);
+            put_close(&mut self.frames, b'S', &text.shared_name);
+            put_parse(&mut self.frames, &text.shared_name, body.query, body.types);
             self.parsed.push(Some(text.clone()));
         }
         self.overlay.push((body.name.into(), Some(text.clone())));
@@ -345,33 +354,37 @@
         }
     }
 
-    /// Returns the name that a backend server knows the statement by.
-    fn reference(&mut self, name: &str) -> String {
+    /// Returns the name by which the backend server knows the statement, and prepares it if necessary.
+    fn backend_name(&mut self, name: &str) -> String {
         if name.is_empty() && self.parsed.iter().any(Option::is_none) {
             return String::new();
         }
         let Some(text) = self.lookup(name) else {
-            self.missing = true;
-            // The connection's unnamed statement may be another session's.
-            return if name.is_empty() { NO_STATEMENT.to_owned() } else { guarded(name) };
+            self.has_missing = true;
+            // The unnamed statement of the connection may belong to another session.
+            return if name.is_empty() {
+                MISSING_STATEMENT.to_owned()
+            } else {
+                avoid_shared_name(name)
+            };
         };
-        if !self.parsed.iter().flatten().any(|parsed| parsed.hashed == text.hashed) {
-            put_parse(&mut self.prelude, &text.hashed, &text.query, &text.types);
+        if !self.parsed.iter().flatten().any(|parsed| parsed.shared_name == text.shared_name) {
+            put_parse(&mut self.prelude, &text.shared_name, &text.query, &text.types);
             self.parsed.push(Some(text.clone()));
             self.texts.push(text.clone());
         }
-        text.hashed.clone()
+        text.shared_name.clone()
     }
 }
 
-/// Keeps callers from naming a shared statement.
-fn guarded(name: &str) -> String {
+/// Prefixes a client's statement name that would collide with a shared name.
+fn avoid_shared_name(name: &str) -> String {
     if name.starts_with(STATEMENT_PREFIX) { format!("_{name}") } else { name.to_owned() }
 }
 
-/// What the next `ParseComplete` or `CloseComplete` stands for.
+/// Meaning of a `ParseComplete` or `CloseComplete` that is still to come.
 #[derive(Debug)]
-enum ExpectedAnswer {
+enum ExpectedCompletion {
     Parse { relay: bool, name: Option<String> },
     Close { relay: bool, name: Option<String> },
 }
@@ -385,27 +398,28 @@
 /// let mut statements = pg::ConnectionStatements::new(256);
 /// assert_eq!(statements.plan(frames.clone()), frames);
 /// assert!(!statements.answered(pg::kind::PARSE_COMPLETE));
-/// // The second time the connection has the statement.
+/// // The connection already has the statement, so the second `Parse` is dropped.
 /// assert!(statements.plan(frames).is_empty());
 /// ```
 #[derive(Debug)]
 pub struct ConnectionStatements {
     limit: usize,
-    /// Name and the time of its last use.
+    /// Shared names, each with the number of the request that last used it.
     prepared: Vec<(String, u64)>,
-    time: u64,
-    /// Callers' own names that a failed `Parse` left behind.
+    /// Number of the current request.
+    request_number: u64,
+    /// Client names left on the connection by a `Parse` that was sent to provoke an error.
     stale: Vec<String>,
-    expected: VecDeque<ExpectedAnswer>,
+    expected: VecDeque<ExpectedCompletion>,
 }
 
 impl ConnectionStatements {
-    /// Creates an empty set that keeps at most `limit` names, or those of one request if more.
+    /// Creates an empty set that keeps at most `limit` names, or more if a single request needs more.
     pub fn new(limit: usize) -> Self {
         ConnectionStatements {
             limit,
             prepared: Vec::new(),
-            time: 0,
+            request_number: 0,
             stale: Vec::new(),
             expected: VecDeque::new(),
         }
@@ -416,24 +430,24 @@
         self.prepared.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether there are no prepared names.
     pub fn is_empty(&self) -> bool {
         self.prepared.is_empty()
     }
 
-    /// Forgets all names, after a statement that deallocated them.
+    /// Removes all names, after a statement that deallocated them on the backend server.
     pub fn clear(&mut self) {
         self.prepared.clear();
     }
 
-    /// Turns the frames of a run into the frames to send. Frames that are not of the extended protocol,
-    /// or not whole, are returned as they are.
+    /// Turns the frames of an exchange into the frames to send to the backend server. Frames that are
+    /// incomplete or do not belong to the extended protocol are returned unchanged.
     pub fn plan(&mut self, frames: Bytes) -> Bytes {
         self.expected.clear();
         if matches!(frames.first(), None | Some(&kind::QUERY)) {
             return frames;
         }
-        self.time += 1;
+        self.request_number += 1;
         let splitter = FrameSplitter::new(usize::MAX);
         let mut rest = BytesMut::from(frames.clone());
         let mut messages = Vec::new();
@@ -449,9 +463,9 @@
             self.expect_close(false, None);
         }
         let mut added = 0;
-        let mut close_of = None;
+        let mut preceding_close = None;
         for message in &messages {
-            let closed = close_of.take();
+            let closed = preceding_close.take();
             match message.kind {
                 kind::PARSE => {
                     if let Ok(body) = read_parse(message.body())
@@ -462,9 +476,9 @@
                 }
                 kind::CLOSE => match read_target(message.body()) {
                     Ok((b'S', name))
-                        if name.starts_with(STATEMENT_PREFIX) && name != NO_STATEMENT =>
+                        if name.starts_with(STATEMENT_PREFIX) && name != MISSING_STATEMENT =>
                     {
-                        close_of = Some(name.to_owned());
+                        preceding_close = Some(name.to_owned());
                         self.expect_close(false, Some(name.to_owned()));
                     }
                     _ => self.expect_close(true, None),
@@ -476,20 +490,20 @@
         sent.freeze()
     }
 
-    /// Takes note of an answer from the backend server; returns whether it is the caller's.
+    /// Records the type of a message from the backend server. Returns whether to relay it to the client.
     pub fn answered(&mut self, answer_kind: u8) -> bool {
         match answer_kind {
             kind::PARSE_COMPLETE | kind::CLOSE_COMPLETE => match self.expected.pop_front() {
-                Some(ExpectedAnswer::Parse { relay, name }) => {
+                Some(ExpectedCompletion::Parse { relay, name }) => {
                     if let Some(name) = name {
-                        self.forget(&name);
-                        self.prepared.push((name, self.time));
+                        self.remove(&name);
+                        self.prepared.push((name, self.request_number));
                     }
                     relay
                 }
-                Some(ExpectedAnswer::Close { relay, name }) => {
+                Some(ExpectedCompletion::Close { relay, name }) => {
                     if let Some(name) = name {
-                        self.forget(&name);
+                        self.remove(&name);
                     }
                     relay
                 }
@@ -503,7 +517,7 @@
         }
     }
 
-    /// Returns whether the `Parse` is sent.
+    /// Returns whether to send the `Parse`.
     fn plan_parse(
         &mut self,
         sent: &mut BytesMut,
@@ -512,50 +526,50 @@
         closed: Option<String>,
         added: &mut usize,
     ) -> bool {
-        let own = closed.as_deref() == Some(name);
+        let is_client_parse = closed.as_deref() == Some(name);
         if !name.starts_with(STATEMENT_PREFIX) {
-            let first_of_two = !name.is_empty()
+            let provokes_error = !name.is_empty()
                 && query.is_empty()
                 && !self.stale.iter().any(|stale| stale == name);
-            if first_of_two {
+            if provokes_error {
                 self.stale.push(name.to_owned());
             }
-            let relay = !first_of_two;
-            self.expected.push_back(ExpectedAnswer::Parse { relay, name: None });
+            let relay = !provokes_error;
+            self.expected.push_back(ExpectedCompletion::Parse { relay, name: None });
             return true;
         }
-        if !own {
-            let time = self.time;
-            if let Some((_, used)) = self.prepared.iter_mut().find(|(held, _)| held == name) {
-                *used = time;
+        if !is_client_parse {
+            let request_number = self.request_number;
+            if let Some((_, last_use)) = self.prepared.iter_mut().find(|(held, _)| held == name) {
+                *last_use = request_number;
                 return false;
             }
         }
         *added += 1;
         if self.prepared.len() + *added > self.limit {
-            let oldest = self.prepared.iter_mut().min_by_key(|(_, used)| *used);
-            if let Some((oldest, used)) = oldest
-                && *used < self.time
+            let oldest = self.prepared.iter_mut().min_by_key(|(_, last_use)| *last_use);
+            if let Some((oldest, last_use)) = oldest
+                && *last_use < self.request_number
                 && oldest != name
             {
                 let oldest = oldest.clone();
-                // Counts as used, so that the same request does not choose it again.
-                *used = self.time;
+                // Marked as used, so that the same request does not evict it again.
+                *last_use = self.request_number;
                 put_close(sent, b'S', &oldest);
                 self.expect_close(false, Some(oldest));
                 *added -= 1;
             }
         }
         let name = Some(name.to_owned());
-        self.expected.push_back(ExpectedAnswer::Parse { relay: own, name });
+        self.expected.push_back(ExpectedCompletion::Parse { relay: is_client_parse, name });
         true
     }
 
     fn expect_close(&mut self, relay: bool, name: Option<String>) {
-        self.expected.push_back(ExpectedAnswer::Close { relay, name });
+        self.expected.push_back(ExpectedCompletion::Close { relay, name });
     }
 
-    fn forget(&mut self, name: &str) {
+    fn remove(&mut self, name: &str) {
         self.prepared.retain(|(held, _)| held != name);
     }
 }
