--- a/crates/pg/src/frame.rs
+++ b/crates/pg/src/frame.rs
@@ -1,8 +1,8 @@
-//! Cutting a byte stream into frames.
+//! Splitting of a byte stream into frames.
 
 use bytes::{Bytes, BytesMut};
 
-/// One message with its header.
+/// A message with its header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// Type byte.
@@ -20,7 +20,7 @@
 
 const HEADER_BYTES: usize = 5;
 
-/// A header that cannot begin a frame.
+/// Error for an invalid frame header.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     #[error("invalid length {length} of message type {kind:#04x}")]
@@ -30,7 +30,7 @@
 }
 
 impl FrameError {
-    /// Returns the SQLSTATE that tells a caller of the error.
+    /// Returns the SQLSTATE that reports the error to a client.
     pub fn code(&self) -> &'static str {
         match self {
             FrameError::BadLength { .. } => "08P01",
@@ -39,7 +39,8 @@
     }
 }
 
-/// Reads a header: the type byte and the length of the whole frame in bytes, if 5 bytes are there.
+/// Reads a header: the type byte and the length of the whole frame in bytes. Returns `None` if the
+/// buffer holds less than a header (5 bytes).
 ///
 /// # Errors
 ///
@@ -59,7 +60,7 @@
     Ok(Some((kind, length as usize + 1)))
 }
 
-/// Cuts frames up to a maximum size from the front of a buffer.
+/// Splits frames up to a maximum size off the front of a buffer.
 ///
 /// ```
 /// let splitter = pg::FrameSplitter::new(1024);
@@ -80,11 +81,11 @@
         FrameSplitter { limit }
     }
 
-    /// Takes the next frame if the buffer holds it whole.
+    /// Removes the next frame from the buffer, if it is complete.
     ///
     /// # Errors
     ///
-    /// Fails on an invalid length, and on one above the limit before the body arrives.
+    /// Fails on an invalid length, and on a length above the limit without waiting for the body.
     pub fn split(&self, buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
         let Some((kind, length)) = peek_header(buffer)? else { return Ok(None) };
         if length > self.limit {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Follows the frame boundaries of a relayed answer whose chunks are cut anywhere.
+/// Tracks the frame boundaries of a relayed answer whose chunks may end anywhere.
 ///
 /// ```
 /// let mut scanner = pg::AnswerScanner::default();
@@ -111,37 +112,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct AnswerScanner {
     header: [u8; HEADER_BYTES],
-    filled: u8,
-    remaining: usize,
+    /// Number of header bytes received.
+    header_filled: u8,
+    /// Number of body bytes still to come.
+    body_remaining: usize,
 }
 
 impl AnswerScanner {
-    /// Scans the next chunk and calls `visit` with the type byte of each frame whose header is whole.
+    /// Scans the next chunk and calls `visit` with the type byte of each frame whose header is complete.
     pub fn scan(&mut self, mut chunk: &[u8], mut visit: impl FnMut(u8)) {
         while !chunk.is_empty() {
-            if self.remaining > 0 {
-                let skipped = self.remaining.min(chunk.len());
-                self.remaining -= skipped;
+            if self.body_remaining > 0 {
+                let skipped = self.body_remaining.min(chunk.len());
+                self.body_remaining -= skipped;
                 chunk = &chunk[skipped..];
                 continue;
             }
-            let filled = usize::from(self.filled);
+            let filled = usize::from(self.header_filled);
             let taken = (HEADER_BYTES - filled).min(chunk.len());
             self.header[filled..filled + taken].copy_from_slice(&chunk[..taken]);
-            self.filled += taken as u8;
+            self.header_filled += taken as u8;
             chunk = &chunk[taken..];
-            if usize::from(self.filled) == HEADER_BYTES {
+            if usize::from(self.header_filled) == HEADER_BYTES {
                 let [kind, a, b, c, d] = self.header;
                 let length = u32::from_be_bytes([a, b, c, d]) as usize;
-                self.remaining = length.saturating_sub(4);
-                self.filled = 0;
+                self.body_remaining = length.saturating_sub(4);
+                self.header_filled = 0;
                 visit(kind);
             }
         }
     }
 
-    /// Tells whether the chunks so far end with a whole frame.
+    /// Returns whether the chunks so far end at a frame boundary.
     pub fn is_between_frames(&self) -> bool {
-        self.filled == 0 && self.remaining == 0
+        self.header_filled == 0 && self.body_remaining == 0
     }
 }
--- a/crates/pg/src/options.rs
+++ b/crates/pg/src/options.rs
@@ -1,15 +1,15 @@
-//! The `options` start-up parameter: command-line arguments for the session.
+//! The `options` startup parameter: command-line arguments for the session.
 
-/// An `options` text that is not a list of settings.
+/// Error for an `options` parameter that is not a list of settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid command-line argument for the session: {argument}")]
 pub struct OptionsError {
     pub argument: String,
 }
 
-/// Splits an `options` parameter into settings. Accepted are `-c name=value`, `-cname=value` and
-/// `--name=value`, separated by white space; a backslash keeps the next character as it is. A dash in
-/// the name of a `--` argument stands for an underscore, as in PostgreSQL.
+/// Splits an `options` parameter into settings. It accepts `-c name=value`, `-cname=value` and
+/// `--name=value`, separated by white space; a backslash escapes the next character. A dash in the name
+/// of a `--` argument stands for an underscore, as in PostgreSQL.
 ///
 /// # Errors
 ///
@@ -26,7 +26,7 @@
     let mut words = split_words(text).into_iter();
     while let Some(word) = words.next() {
         let error = || OptionsError { argument: word.clone() };
-        let (setting, long) = if let Some(rest) = word.strip_prefix("--") {
+        let (setting, is_long) = if let Some(rest) = word.strip_prefix("--") {
             (rest.to_owned(), true)
         } else if word == "-c" {
             (words.next().ok_or_else(error)?, false)
@@ -39,7 +39,7 @@
         if name.is_empty() {
             return Err(error());
         }
-        let name = if long { name.replace('-', "_") } else { name.to_owned() };
+        let name = if is_long { name.replace('-', "_") } else { name.to_owned() };
         settings.push((name, value.to_owned()));
     }
     Ok(settings)
@@ -54,8 +54,8 @@
             words.extend(word.take());
             continue;
         }
-        let kept = if character == '\\' { characters.next() } else { Some(character) };
-        word.get_or_insert_default().extend(kept);
+        let literal = if character == '\\' { characters.next() } else { Some(character) };
+        word.get_or_insert_default().extend(literal);
     }
     words.extend(word);
     words
--- a/crates/pg/src/startup.rs
+++ b/crates/pg/src/startup.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest first packet, as in PostgreSQL's `MAX_STARTUP_PACKET_LENGTH`.
+/// Maximum size of a first packet, as in PostgreSQL's `MAX_STARTUP_PACKET_LENGTH`.
 const MAX_FIRST_PACKET_BYTES: usize = 10_000;
 
 const SSL_CODE: u32 = 80_877_103;
@@ -12,17 +12,17 @@
 /// First packet of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FirstPacket {
-    /// Asks for TLS; the answer is one byte, and another first packet follows.
+    /// Requests TLS. The answer is one byte, after which another first packet follows.
     SslRequest,
-    /// Asks for GSSAPI encryption; as for TLS.
+    /// Requests GSSAPI encryption, with the same exchange as for TLS.
     GssEncRequest,
-    /// Asks to cancel the request in progress of another connection.
+    /// Requests to cancel the request in progress on another connection.
     Cancel { process: i32, secret: Bytes },
     /// Opens a session of protocol 3.`minor`.
     Startup { minor: u16, parameters: Vec<(String, String)> },
 }
 
-/// A first packet that cannot be read.
+/// Error for a first packet that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartupError {
     #[error("invalid length of startup packet")]
@@ -34,7 +34,7 @@
 }
 
 impl StartupError {
-    /// Returns the SQLSTATE that tells a caller of the error.
+    /// Returns the SQLSTATE that reports the error to a client.
     pub fn code(&self) -> &'static str {
         match self {
             StartupError::BadVersion { .. } => "0A000",
@@ -43,11 +43,11 @@
     }
 }
 
-/// Takes the first packet if the buffer holds it whole.
+/// Removes the first packet from the buffer, if it is complete.
 ///
 /// # Errors
 ///
-/// Fails on a length out of range, another protocol version than 3, or a malformed body.
+/// Fails on a length out of range, a protocol version other than 3, or a malformed body.
 ///
 /// ```
 /// let mut buffer = bytes::BytesMut::new();
