--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,13 +1,13 @@
-//! PostgreSQL v3 framing and message building over the codec of `pgwire`.
+//! Framing, encoding and decoding of the PostgreSQL v3 protocol, on top of the `pgwire` codec.
 //!
-//! [`FrameSplitter`] cuts a byte stream into frames (type byte, length, body) without looking into
-//! them, [`split_first_packet`] does the same for the untyped packets that open a connection. The
-//! `put_*` functions build messages with `pgwire`'s codec. The `read_*` functions read the few bodies
-//! that a proxy must understand; they are written here because the codec's decoders assume a body
-//! that is long enough for its fields, which bytes from a network may not be.
+//! [`FrameSplitter`] splits a byte stream into frames (type byte, length, body) without decoding them;
+//! [`split_first_packet`] does the same for the untyped packets that open a connection. The `put_*`
+//! functions encode messages with `pgwire`. The `read_*` functions decode the few bodies that a proxy
+//! must understand. They do not use `pgwire`, whose decoders assume that a body is long enough for its
+//! fields; data from a network may be shorter.
 //!
 //! [`StatementTable`] and [`ConnectionStatements`] make the extended protocol work over shared
-//! connections: the first belongs to a caller's session, the second to a connection to a backend
+//! connections: the first belongs to a client's session, the second to a connection to a backend
 //! server.
 
 mod extended;
@@ -38,7 +38,7 @@
 
 /// Message type bytes. The same letter may mean different messages in the two directions.
 pub mod kind {
-    // From the caller.
+    // From the client.
     pub const QUERY: u8 = b'Q';
     pub const PARSE: u8 = b'P';
     pub const BIND: u8 = b'B';
--- a/crates/pg/src/message.rs
+++ b/crates/pg/src/message.rs
@@ -1,4 +1,4 @@
-//! Building messages with the codec of `pgwire`.
+//! Encoding of messages with the `pgwire` codec.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use pgwire::messages::Message;
@@ -16,7 +16,7 @@
 use pgwire::messages::terminate::Terminate;
 
 /// Object id of the type `text`.
-const TEXT_TYPE: u32 = 25;
+const TEXT_TYPE_OID: u32 = 25;
 
 /// The fields of an error or notice that the proxy reads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -48,13 +48,13 @@
 }
 
 fn put<M: Message>(buffer: &mut BytesMut, message: M) {
-    // The codec's encoders of these messages only append to the buffer and have no failure.
+    // The encoders of these messages only append to the buffer and cannot fail.
     let encoded = message.encode(buffer);
     debug_assert!(encoded.is_ok());
 }
 
-/// Removes NUL, which ends a text in the protocol.
-fn clean(text: &str) -> String {
+/// Removes NUL bytes, which terminate a string in the protocol.
+fn strip_nul(text: &str) -> String {
     text.replace('\0', "")
 }
 
@@ -65,7 +65,7 @@
 
 /// Appends a `ParameterStatus`.
 pub fn put_parameter_status(buffer: &mut BytesMut, name: &str, value: &str) {
-    put(buffer, ParameterStatus::new(clean(name), clean(value)));
+    put(buffer, ParameterStatus::new(strip_nul(name), strip_nul(value)));
 }
 
 /// Appends a `BackendKeyData`.
@@ -73,7 +73,7 @@
     put(buffer, BackendKeyData::new(process, SecretKey::I32(secret)));
 }
 
-/// Appends a `ReadyForQuery`; `status` is `I`, `T` or `E`, and `I` stands for any other byte.
+/// Appends a `ReadyForQuery`. `status` is `I`, `T` or `E`; any other byte is sent as `I`.
 pub fn put_ready(buffer: &mut BytesMut, status: u8) {
     let status = match status {
         b'T' => TransactionStatus::Transaction,
@@ -88,12 +88,12 @@
     put(buffer, NegotiateProtocolVersion::new(0, unsupported));
 }
 
-fn fields(severity: Severity, code: &str, message: &str) -> Vec<(u8, String)> {
+fn error_fields(severity: Severity, code: &str, message: &str) -> Vec<(u8, String)> {
     vec![
         (b'S', severity.name().to_owned()),
         (b'V', severity.name().to_owned()),
-        (b'C', clean(code)),
-        (b'M', clean(message)),
+        (b'C', strip_nul(code)),
+        (b'M', strip_nul(message)),
     ]
 }
 
@@ -107,19 +107,19 @@
 /// # Ok::<(), pg::BodyError>(())
 /// ```
 pub fn put_error(buffer: &mut BytesMut, severity: Severity, code: &str, message: &str) {
-    put(buffer, ErrorResponse::new(fields(severity, code, message)));
+    put(buffer, ErrorResponse::new(error_fields(severity, code, message)));
 }
 
 /// Appends a `NoticeResponse`.
 pub fn put_notice(buffer: &mut BytesMut, code: &str, message: &str) {
-    put(buffer, NoticeResponse::new(fields(Severity::Notice, code, message)));
+    put(buffer, NoticeResponse::new(error_fields(Severity::Notice, code, message)));
 }
 
 /// Appends a `RowDescription` of text columns.
 pub fn put_row_description(buffer: &mut BytesMut, names: &[&str]) {
     let columns = names.iter().map(|name| {
         // Text has a variable size (-1) and no type modifier (-1).
-        FieldDescription::new(clean(name), 0, 0, TEXT_TYPE, -1, -1, 0)
+        FieldDescription::new(strip_nul(name), 0, 0, TEXT_TYPE_OID, -1, -1, 0)
     });
     put(buffer, RowDescription::new(columns.collect()));
 }
@@ -141,17 +141,17 @@
 
 /// Appends a `CommandComplete`.
 pub fn put_command_complete(buffer: &mut BytesMut, tag: &str) {
-    put(buffer, CommandComplete::new(clean(tag)));
+    put(buffer, CommandComplete::new(strip_nul(tag)));
 }
 
 /// Appends a `Query`.
 pub fn put_query(buffer: &mut BytesMut, text: &str) {
-    put(buffer, Query::new(clean(text)));
+    put(buffer, Query::new(strip_nul(text)));
 }
 
 /// Appends a `Parse`; `types` are the count and object ids as in [`crate::ParseBody`].
 pub fn put_parse(buffer: &mut BytesMut, name: &str, query: &str, types: &[u8]) {
-    // The type list is passed on as it came, which the codec cannot take.
+    // Written by hand: the type list is forwarded unchanged, and the codec has no way to encode that.
     let types = if types.is_empty() { &[0, 0] } else { types };
     buffer.put_u8(crate::kind::PARSE);
     buffer.put_i32((4 + name.len() + 1 + query.len() + 1 + types.len()) as i32);
@@ -164,7 +164,7 @@
 
 /// Appends a `Close` of a statement (`S`) or portal (`P`).
 pub fn put_close(buffer: &mut BytesMut, target: u8, name: &str) {
-    put(buffer, Close::new(target, Some(clean(name))));
+    put(buffer, Close::new(target, Some(strip_nul(name))));
 }
 
 /// Appends a `Sync`.
@@ -174,7 +174,7 @@
 
 /// Appends a `CopyFail`.
 pub fn put_copy_fail(buffer: &mut BytesMut, message: &str) {
-    put(buffer, CopyFail::new(clean(message)));
+    put(buffer, CopyFail::new(strip_nul(message)));
 }
 
 /// Appends a `Terminate`.
@@ -182,15 +182,16 @@
     put(buffer, Terminate::new());
 }
 
-/// Appends the packet that opens a session of protocol 3.0.
+/// Appends the startup packet of protocol 3.0.
 pub fn put_startup(buffer: &mut BytesMut, parameters: &[(&str, &str)]) {
     let mut startup = Startup::new();
     startup.parameters =
-        parameters.iter().map(|(name, value)| (clean(name), clean(value))).collect();
+        parameters.iter().map(|(name, value)| (strip_nul(name), strip_nul(value))).collect();
     put(buffer, startup);
 }
 
-/// Builds the packet that cancels the run of a connection; `secret` as in its `BackendKeyData`.
+/// Builds the packet that cancels the query in progress on a connection; `secret` is the one from the
+/// connection's `BackendKeyData`.
 pub fn cancel_request(process: i32, secret: &[u8]) -> Bytes {
     let mut buffer = BytesMut::new();
     let secret = SecretKey::Bytes(Bytes::copy_from_slice(secret));
--- a/crates/pg/src/read.rs
+++ b/crates/pg/src/read.rs
@@ -1,8 +1,8 @@
-//! Reading the bodies that a proxy must understand.
+//! Decoding of the message bodies that a proxy must understand.
 
 use crate::message::ErrorFields;
 
-/// A body that does not have the layout of its message.
+/// Error for a body that does not have the layout of its message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid message format: {field}")]
 pub struct BodyError {
@@ -72,7 +72,7 @@
 pub struct ParseBody<'a> {
     pub name: &'a str,
     pub query: &'a str,
-    /// Count and object ids of the parameter types as they came.
+    /// Count and object ids of the parameter types, unchanged.
     pub types: &'a [u8],
 }
 
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// Fails if a field is missing or the type list has another length than it says.
+/// Fails if a field is missing or the length of the type list does not match its count.
 pub fn read_parse(body: &[u8]) -> Result<ParseBody<'_>, BodyError> {
     let mut reader = BodyReader { rest: body };
     let name = reader.text("statement name")?;
@@ -93,12 +93,12 @@
     Ok(ParseBody { name, query, types })
 }
 
-/// Names in a `Bind`, and the rest.
+/// Body of a `Bind`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BindBody<'a> {
     pub portal: &'a str,
     pub statement: &'a str,
-    /// Formats and parameters as they came.
+    /// Formats and parameters, unchanged.
     pub rest: &'a [u8],
 }
 
@@ -114,11 +114,11 @@
     Ok(BindBody { portal, statement, rest: reader.rest })
 }
 
-/// Reads a `Describe` or `Close`: `S` or `P`, and the name of the statement or portal.
+/// Reads a `Describe` or `Close`: the target kind (`S` for a statement, `P` for a portal) and its name.
 ///
 /// # Errors
 ///
-/// Fails on another kind, or if the name is not terminated.
+/// Fails on another target kind, or if the name is not terminated.
 pub fn read_target(body: &[u8]) -> Result<(u8, &str), BodyError> {
     let mut reader = BodyReader { rest: body };
     let target = reader.byte("target kind")?;
@@ -130,7 +130,7 @@
     Ok((target, name))
 }
 
-/// Reads an `Execute`: the portal and the row limit (0: all).
+/// Reads an `Execute`: the portal and the row limit (0: no limit).
 ///
 /// # Errors
 ///
@@ -152,8 +152,8 @@
     BodyReader { rest: body }.text("command tag")
 }
 
-/// Reads an `ErrorResponse` or `NoticeResponse`. Text that is not UTF-8 is replaced, so that an error
-/// in another encoding is still reported.
+/// Reads an `ErrorResponse` or `NoticeResponse`. Invalid UTF-8 is replaced, so that an error in another
+/// encoding is still reported.
 ///
 /// # Errors
 ///
@@ -171,7 +171,7 @@
         let text = String::from_utf8_lossy(reader.take(end, "error text")?).into_owned();
         reader.byte("error text")?;
         match field {
-            // `V` is never translated and follows `S`, so it replaces it.
+            // `V` is the severity that is never translated. It follows `S` and replaces it.
             b'S' | b'V' => fields.severity = text,
             b'C' => fields.code = text,
             b'M' => fields.message = text,
@@ -196,7 +196,7 @@
 ///
 /// # Errors
 ///
-/// Fails if a column is cut short or not UTF-8.
+/// Fails if a column is truncated or not UTF-8.
 ///
 /// ```
 /// let mut buffer = bytes::BytesMut::new();
@@ -222,11 +222,11 @@
     Ok(columns)
 }
 
-/// Reads a `BackendKeyData`: the process and the secret.
+/// Reads a `BackendKeyData`: the process id and the secret.
 ///
 /// # Errors
 ///
-/// Fails if the process is missing.
+/// Fails if the process id is missing.
 pub fn read_backend_key(body: &[u8]) -> Result<(i32, &[u8]), BodyError> {
     let mut reader = BodyReader { rest: body };
     let process = reader.int32("process")?;
@@ -246,7 +246,7 @@
 ///
 /// # Errors
 ///
-/// Fails if one is not terminated.
+/// Fails if the name or the value is not terminated.
 pub fn read_parameter_status(body: &[u8]) -> Result<(&str, &str), BodyError> {
     let mut reader = BodyReader { rest: body };
     Ok((reader.text("parameter name")?, reader.text("parameter value")?))
