--- a/crates/pg/tests/frames.rs
+++ b/crates/pg/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Guards against a splitter that panics on hostile bytes or depends on how the stream is cut.
+//! Guards against decoders that panic on malformed input, and against a splitter whose result depends
+//! on how the stream is chunked.
 
 #![allow(clippy::unwrap_used)]
 
@@ -24,14 +25,14 @@
     (frames, None)
 }
 
-fn cut(stream: &[u8], mut cuts: Vec<usize>) -> Vec<&[u8]> {
+fn cut_at(stream: &[u8], mut cuts: Vec<usize>) -> Vec<&[u8]> {
     cuts.iter_mut().for_each(|cut| *cut %= stream.len() + 1);
     cuts.extend([0, stream.len()]);
     cuts.sort_unstable();
     cuts.windows(2).map(|pair| &stream[pair[0]..pair[1]]).collect()
 }
 
-/// Streams of mostly valid frames, so that the splitter gets past the first header.
+/// Generates streams of mostly valid frames, so that the splitter gets past the first header.
 fn stream() -> impl Strategy<Value = Vec<u8>> {
     let frame =
         (any::<u8>(), prop::collection::vec(any::<u8>(), 0..40)).prop_map(|(kind, body)| {
@@ -52,7 +53,7 @@
         limit in 5usize..64,
     ) {
         let whole = split_chunks(&[&stream], limit);
-        let chunked = split_chunks(&cut(&stream, cuts), limit);
+        let chunked = split_chunks(&cut_at(&stream, cuts), limit);
         prop_assert_eq!(whole, chunked);
     }
 
@@ -65,7 +66,7 @@
         prop_assume!(error.is_none());
         let mut scanner = AnswerScanner::default();
         let mut kinds = Vec::new();
-        for chunk in cut(&stream, cuts) {
+        for chunk in cut_at(&stream, cuts) {
             scanner.scan(chunk, |kind| kinds.push(kind));
         }
         let expected: Vec<u8> = frames.iter().map(|frame| frame.kind).collect();
@@ -75,7 +76,7 @@
     }
 
     #[test]
-    fn bodies_never_panic_the_readers(body in prop::collection::vec(any::<u8>(), 0..80)) {
+    fn readers_never_panic_on_arbitrary_bodies(body in prop::collection::vec(any::<u8>(), 0..80)) {
         let _ = pg::read_query(&body);
         let _ = pg::read_parse(&body);
         let _ = pg::read_bind(&body);
@@ -92,7 +93,7 @@
     }
 
     #[test]
-    fn first_packets_never_panic(body in prop::collection::vec(any::<u8>(), 0..80), version: u32) {
+    fn split_first_packet_never_panics(body in prop::collection::vec(any::<u8>(), 0..80), version: u32) {
         let mut packet = (body.len() as u32 + 8).to_be_bytes().to_vec();
         packet.extend(version.to_be_bytes());
         packet.extend(&body);
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn oversized_frame_is_refused_before_its_body_arrives() {
+fn frame_with_invalid_length_is_rejected_before_its_body_arrives() {
     let mut buffer = BytesMut::from(&b"Q\x7f\xff\xff\xff"[..]);
     let error = FrameSplitter::new(1 << 20).split(&mut buffer).unwrap_err();
     assert_eq!(error.code(), "54000");
--- a/crates/pg/tests/statements.rs
+++ b/crates/pg/tests/statements.rs
@@ -1,5 +1,5 @@
-//! Guards the extended protocol over shared connections: a caller must see what a direct connection
-//! would answer, whichever connection runs its request.
+//! Tests of the extended protocol over shared connections. A client must receive what a direct connection
+//! would answer, whichever connection executes its request.
 
 #![allow(clippy::unwrap_used)]
 
@@ -40,18 +40,18 @@
     message(kind::EXECUTE, b"\0\0\0\0\0")
 }
 
-/// A connection to a backend server that knows only names: what it answers, and what of it the caller
-/// sees.
-struct Backend {
+/// Fake connection to a backend server that tracks only statement names. It returns the answers that
+/// are relayed to the client.
+struct FakeBackend {
     statements: ConnectionStatements,
     names: Vec<(String, String)>,
     executed: Vec<String>,
 }
 
-impl Backend {
+impl FakeBackend {
     fn new(limit: usize) -> Self {
         let statements = ConnectionStatements::new(limit);
-        Backend { statements, names: Vec::new(), executed: Vec::new() }
+        FakeBackend { statements, names: Vec::new(), executed: Vec::new() }
     }
 
     fn run(&mut self, sent: Bytes) -> Vec<u8> {
@@ -97,7 +97,7 @@
     }
 }
 
-fn request(table: &mut StatementTable, backend: &mut Backend, messages: &[Frame]) -> String {
+fn request(table: &mut StatementTable, backend: &mut FakeBackend, messages: &[Frame]) -> String {
     let sent = table.rewrite(messages).unwrap().frames;
     let answers = backend.run(sent);
     answers.iter().for_each(|answer| table.answered(*answer));
@@ -105,9 +105,9 @@
 }
 
 #[test]
-fn statement_follows_its_session_to_another_connection() {
+fn statement_can_be_used_on_another_connection() {
     let mut table = StatementTable::default();
-    let (mut first, mut second) = (Backend::new(256), Backend::new(256));
+    let (mut first, mut second) = (FakeBackend::new(256), FakeBackend::new(256));
     assert_eq!(request(&mut table, &mut first, &[parse("a", "SELECT 1")]), "1");
     assert_eq!(request(&mut table, &mut second, &[bind("a"), execute()]), "2C");
     assert_eq!(request(&mut table, &mut second, &[bind("a"), execute()]), "2C");
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn unnamed_statement_survives_other_sessions() {
+fn unnamed_statement_is_not_replaced_by_other_sessions() {
     let (mut one, mut other) = (StatementTable::default(), StatementTable::default());
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     assert_eq!(request(&mut one, &mut backend, &[parse("", "SELECT 1")]), "1");
     assert_eq!(request(&mut other, &mut backend, &[parse("", "SELECT 2")]), "1");
     assert_eq!(request(&mut one, &mut backend, &[bind(""), execute()]), "2C");
@@ -130,7 +130,7 @@
 #[test]
 fn same_name_in_two_sessions_keeps_both_texts() {
     let (mut one, mut other) = (StatementTable::default(), StatementTable::default());
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     assert_eq!(request(&mut one, &mut backend, &[parse("s", "SELECT 1")]), "1");
     assert_eq!(request(&mut other, &mut backend, &[parse("s", "SELECT 2")]), "1");
     assert_eq!(request(&mut one, &mut backend, &[bind("s"), execute()]), "2C");
@@ -139,22 +139,22 @@
 }
 
 #[test]
-fn second_parse_of_a_held_name_fails_as_it_would_directly() {
+fn second_parse_of_a_name_fails_as_on_a_direct_connection() {
     let mut table = StatementTable::default();
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     assert_eq!(request(&mut table, &mut backend, &[parse("s", "SELECT 1")]), "1");
     let messages = [parse("s", "SELECT 2"), bind("s"), execute()];
     assert_eq!(request(&mut table, &mut backend, &messages), "E");
-    // The name that provoked the error is gone with the next request.
+    // The next request closes the name that was left on the connection to provoke the error.
     assert_eq!(request(&mut table, &mut backend, &[bind("s"), execute()]), "2C");
     assert_eq!(backend.executed, ["SELECT 1"]);
     assert!(backend.names.iter().all(|(name, _)| name != "s"));
 }
 
 #[test]
-fn closed_statement_is_gone_for_its_session_only() {
+fn close_removes_the_statement_from_its_session_only() {
     let (mut one, mut other) = (StatementTable::default(), StatementTable::default());
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     for table in [&mut one, &mut other] {
         assert_eq!(request(table, &mut backend, &[parse("s", "SELECT 1")]), "1");
     }
@@ -175,9 +175,9 @@
 }
 
 #[test]
-fn connection_keeps_a_bounded_number_of_names() {
+fn number_of_names_on_a_connection_is_bounded() {
     let mut table = StatementTable::default();
-    let mut backend = Backend::new(4);
+    let mut backend = FakeBackend::new(4);
     for index in 0..20 {
         let name = format!("s{index}");
         let messages = [parse(&name, &format!("SELECT {index}"))];
@@ -190,9 +190,9 @@
 }
 
 #[test]
-fn session_keeps_a_bounded_number_of_statements() {
+fn number_of_statements_in_a_session_is_bounded() {
     let mut table = StatementTable::new(StatementLimits { statements: 2, bytes: 1 << 20 });
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     for name in ["a", "b"] {
         assert_eq!(request(&mut table, &mut backend, &[parse(name, "SELECT 1")]), "1");
     }
@@ -202,22 +202,22 @@
 }
 
 #[test]
-fn shared_names_cannot_be_used_by_callers() {
+fn shared_names_cannot_be_used_by_clients() {
     let (mut one, mut other) = (StatementTable::default(), StatementTable::default());
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     assert_eq!(request(&mut one, &mut backend, &[parse("s", "SELECT 1")]), "1");
     let shared = backend.names[0].0.clone();
     assert_eq!(request(&mut other, &mut backend, &[bind(&shared)]), "E");
 }
 
 #[test]
-fn missing_unnamed_statement_is_not_that_of_another_session() {
+fn missing_unnamed_statement_does_not_resolve_to_another_session() {
     let (mut one, mut other) = (StatementTable::default(), StatementTable::default());
-    let mut backend = Backend::new(256);
+    let mut backend = FakeBackend::new(256);
     assert_eq!(request(&mut one, &mut backend, &[parse("", "SELECT 1")]), "1");
     assert_eq!(request(&mut other, &mut backend, &[bind(""), execute()]), "E");
     assert_eq!(request(&mut other, &mut backend, &[parse("s", "SELECT 2"), bind("")]), "1E");
     assert!(backend.executed.is_empty());
-    // The text is not empty, so that the request is not answered as an empty query.
+    // An empty text would make the request be answered as an empty query.
     assert_eq!(other.rewrite(&[bind("missing")]).unwrap().text, "SELECT");
 }
