--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,14 +1,14 @@
-//! Line differences of two configurations.
+//! Line-based differences between two configurations.
 
 use std::time::Duration;
 
 use similar::{Algorithm, TextDiff};
 
-/// Time after which the search for the shortest difference settles for a longer one.
-const SEARCH_LIMIT: Duration = Duration::from_secs(2);
+/// Time after which the search for the shortest difference accepts a longer one.
+const DIFF_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Writes the difference of two texts in unified format with 3 lines of context; empty if they are
-/// equal.
+/// Returns the difference between two texts in unified format with 3 lines of context, or an empty text
+/// if they are equal.
 ///
 /// ```
 /// let diff = config::diff_lines("revision 4", "a\nb\n", "new.jsonc", "a\nc\n");
@@ -18,7 +18,7 @@
 pub fn diff_lines(old_name: &str, old: &str, new_name: &str, new: &str) -> String {
     TextDiff::configure()
         .algorithm(Algorithm::Myers)
-        .timeout(SEARCH_LIMIT)
+        .timeout(DIFF_TIMEOUT)
         .diff_lines(old, new)
         .unified_diff()
         .context_radius(3)
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,16 +1,16 @@
-//! Versioned documents, which never go back to a lower revision.
+//! A store of versioned documents that never returns to a lower revision.
 
 use std::sync::Arc;
 
 use model::{FastMap, Name};
 
-/// What an offered revision was to the store.
+/// Result of offering a document to a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentOffer {
-    /// Higher than the one held; the store took it.
+    /// The revision is higher than the one held, and the store took the document.
     Newer,
     Same,
-    /// Lower than the one held; the store kept its own.
+    /// The revision is lower than the one held, and the store kept its document.
     Older,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl DocumentStore {
-    /// Takes a document if its revision is higher than the one held.
+    /// Stores a document if its revision is higher than the one held.
     pub fn offer(&mut self, document: &Name, revision: u64, bytes: &[u8]) -> DocumentOffer {
         match self.documents.get(document) {
             Some((held, _)) if *held == revision => DocumentOffer::Same,
@@ -46,7 +46,7 @@
         self.documents.get(document).map(|(revision, bytes)| (*revision, bytes.clone()))
     }
 
-    /// Returns the revision of each document, by name.
+    /// Returns the revision of each document, sorted by name.
     pub fn revisions(&self) -> Vec<(Name, u64)> {
         let mut revisions: Vec<(Name, u64)> =
             self.documents.iter().map(|(name, (revision, _))| (name.clone(), *revision)).collect();
