--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,38 +1,38 @@
-//! The envelope of an accepted change.
+//! The envelope in which an accepted configuration is stored.
 
 use serde::{Deserialize, Serialize};
 
-/// The value stored at the platform under `cicadawick/config`, as JSON.
+/// The value stored on the platform under `cicadawick/config`, as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeEnvelope {
     /// One more than the revision that the change replaces.
     pub revision: u64,
-    /// Random; tells after a lost answer whether the own change took effect.
+    /// Random id. After a lost answer it shows whether the writer's own change took effect.
     pub change_id: String,
     pub author: String,
-    /// Seconds since 1970, for display only.
+    /// Unix time in seconds, for display only.
     pub written_at: u64,
     /// The configuration, as JSON with comments.
     pub text: String,
 }
 
-/// An envelope that cannot be read.
+/// Error for an envelope that cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 #[error("failed to read the configuration envelope")]
-pub struct ChangeError(#[from] serde_json::Error);
+pub struct EnvelopeError(#[from] serde_json::Error);
 
 impl ChangeEnvelope {
-    /// Writes the envelope.
+    /// Encodes the envelope as JSON.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads an envelope.
+    /// Decodes an envelope.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are not an envelope.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, ChangeError> {
+    /// Fails if the bytes are not an envelope in JSON.
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, EnvelopeError> {
         Ok(serde_json::from_slice(bytes)?)
     }
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' configuration.
+//! Parsing and validation of the operators' configuration.
 
 use capnp::dynamic_value::Builder;
 use capnp::struct_list;
@@ -9,17 +9,17 @@
 use schema::fleet_capnp::{RankName, fleet_config, label, rank_share};
 
 use crate::SettingsError;
-use crate::walk::TextWalk;
+use crate::parser::SchemaParser;
 
-/// Highest sum of the ranks' floors, in percent. The rest of the slot time stays free for whatever
-/// is most urgent.
-const MAX_FLOOR_SUM: u32 = 90;
+/// Maximum sum of the minimum shares of all ranks, in percent. The rest of the slot time stays available
+/// to the most urgent requests.
+const MAX_SHARE_SUM_PERCENT: u32 = 90;
 
-/// Reads and checks a configuration text. `revision` is taken from the envelope.
+/// Parses and validates a configuration text. `revision` is the one of the envelope.
 ///
 /// # Errors
 ///
-/// Returns every error found, in the order of the text.
+/// Returns all errors, in the order of the text.
 ///
 /// ```
 /// let text = config::render_example(config::ExampleFile::Fleet);
@@ -33,34 +33,38 @@
 ) -> Result<FleetConfig, Vec<SettingsError>> {
     let mut message = capnp::message::Builder::new_default();
     let mut root = message.init_root::<fleet_config::Builder<'_>>();
-    let mut walk = TextWalk::new(file, text);
+    let mut parser = SchemaParser::new(file, text);
     if let Builder::Struct(builder) = Builder::from(root.reborrow()) {
-        walk.read(builder);
+        parser.parse(builder);
     }
     let reader = root.into_reader();
-    let checked = check_databases(&mut walk, reader)
-        .and_then(|()| check_selectors(&mut walk, reader))
-        .and_then(|()| check_ranks(&mut walk, reader));
-    walk.finish()?;
+    let checked = check_databases(&mut parser, reader)
+        .and_then(|()| check_selectors(&mut parser, reader))
+        .and_then(|()| check_ranks(&mut parser, reader));
+    parser.finish()?;
     checked
-        .and_then(|()| typed_config(reader, revision))
+        .and_then(|()| convert_config(reader, revision))
         .map_err(|error| vec![crate::schema_error(file, &error)])
 }
 
-/// Finds names and addresses that are given twice and slots without a connection.
-fn check_databases(walk: &mut TextWalk<'_>, reader: fleet_config::Reader<'_>) -> capnp::Result<()> {
+/// Reports duplicate names and addresses, and databases with more slots than connections.
+fn check_databases(
+    parser: &mut SchemaParser<'_>,
+    reader: fleet_config::Reader<'_>,
+) -> capnp::Result<()> {
     let mut cluster_paths: FastMap<String, String> = FastMap::default();
-    // Path of the database and index of its cluster, by name and by address.
+    // Key path of each database's name and index of its cluster, by name.
     let mut names: FastMap<String, (String, usize)> = FastMap::default();
+    // Key path of each address, by address.
     let mut addresses: FastMap<String, String> = FastMap::default();
     for (index, cluster) in reader.get_clusters()?.iter().enumerate() {
         let path = format!("clusters[{index}].name");
-        if walk.accepted(&path) {
+        if parser.is_accepted(&path) {
             let name = cluster.get_name()?.to_string()?;
             if let Some(first) = cluster_paths.get(&name) {
                 let message =
-                    format!("duplicate cluster name {name:?}, first in {}", walk.place(first));
-                walk.reject(&path, message);
+                    format!("duplicate cluster name {name:?}, first in {}", parser.line_of(first));
+                parser.reject(&path, message);
             } else {
                 cluster_paths.insert(name, path);
             }
@@ -68,20 +72,20 @@
         for (position, database) in cluster.get_databases()?.iter().enumerate() {
             let path = format!("clusters[{index}].databases[{position}]");
             let name_path = format!("{path}.name");
-            if walk.accepted(&name_path) {
+            if parser.is_accepted(&name_path) {
                 let name = database.get_name()?.to_string()?;
                 match names.get(&name) {
                     Some((first, other)) if *other == index => {
-                        let place = walk.place(first);
-                        let message = format!("duplicate database name {name:?}, first in {place}");
-                        walk.reject(&name_path, message);
+                        let line = parser.line_of(first);
+                        let message = format!("duplicate database name {name:?}, first in {line}");
+                        parser.reject(&name_path, message);
                     }
                     Some((first, other)) => {
                         let message = format!(
                             "database {name:?} is already in clusters[{other}] in {}",
-                            walk.place(first)
+                            parser.line_of(first)
                         );
-                        walk.reject(&name_path, message);
+                        parser.reject(&name_path, message);
                     }
                     None => {
                         names.insert(name, (name_path, index));
@@ -89,39 +93,42 @@
                 }
             }
             let address_path = format!("{path}.address");
-            if walk.accepted(&address_path) {
+            if parser.is_accepted(&address_path) {
                 let address = database.get_address()?.to_string()?;
                 if let Some(first) = addresses.get(&address) {
                     let message =
-                        format!("address {address} is already used in {}", walk.place(first));
-                    walk.reject(&address_path, message);
+                        format!("address {address} is already used in {}", parser.line_of(first));
+                    parser.reject(&address_path, message);
                 } else {
                     addresses.insert(address, address_path);
                 }
             }
             let (slots, connections) = (database.get_slots(), database.get_connections());
-            if walk.accepted(&format!("{path}.connections")) && slots > connections {
+            if parser.is_accepted(&format!("{path}.connections")) && slots > connections {
                 let message =
                     format!("expected at most the {connections} connections, found {slots}");
-                walk.reject(&format!("{path}.slots"), message);
+                parser.reject(&format!("{path}.slots"), message);
             }
         }
     }
     Ok(())
 }
 
-/// Finds names that are given twice and selectors that an earlier one hides.
-fn check_selectors(walk: &mut TextWalk<'_>, reader: fleet_config::Reader<'_>) -> capnp::Result<()> {
+/// Reports duplicate names, and selectors that are unreachable because an earlier one covers them.
+fn check_selectors(
+    parser: &mut SchemaParser<'_>,
+    reader: fleet_config::Reader<'_>,
+) -> capnp::Result<()> {
     let mut names: FastMap<String, String> = FastMap::default();
-    let mut earlier: Vec<(Vec<MatchRule>, String)> = Vec::new();
+    let mut earlier_selectors: Vec<(Vec<MatchRule>, String)> = Vec::new();
     for (index, selector) in reader.get_selectors()?.iter().enumerate() {
         let path = format!("selectors[{index}].name");
         let name = selector.get_name()?.to_string()?;
-        if walk.accepted(&path) {
+        if parser.is_accepted(&path) {
             if let Some(first) = names.get(&name) {
                 let message =
-                    format!("duplicate selector name {name:?}, first in {}", walk.place(first));
-                walk.reject(&path, message);
+                    format!("duplicate selector name {name:?}, first in {}", parser.line_of(first));
+                parser.reject(&path, message);
             } else {
                 names.insert(name.clone(), path);
             }
@@ -130,26 +137,27 @@
         let Ok(matches) = selector.get_matches()?.to_str()?.parse::<LabelSelector>() else {
             continue;
         };
-        if !walk.accepted(&path) {
+        if !parser.is_accepted(&path) {
             continue;
         }
         let rules: Vec<MatchRule> = matches.rules.into_iter().map(canonical_rule).collect();
-        // A selector whose rules are all among these rules matches all that these match.
-        let hiding =
-            earlier.iter().find(|(other, _)| other.iter().all(|rule| rules.contains(rule)));
-        if let Some((_, hiding)) = hiding {
+        // If all rules of an earlier selector are among these rules, it matches everything that these match.
+        let covering = earlier_selectors
+            .iter()
+            .find(|(other, _)| other.iter().all(|rule| rules.contains(rule)));
+        if let Some((_, covering)) = covering {
             let message = format!(
                 "unreachable: the earlier selector in {} matches all that this one matches",
-                walk.place(hiding)
+                parser.line_of(covering)
             );
-            walk.reject(&path, message);
+            parser.reject(&path, message);
         }
-        earlier.push((rules, path));
+        earlier_selectors.push((rules, path));
     }
     Ok(())
 }
 
-/// Orders the values of a rule, so that rules with the same meaning are equal.
+/// Sorts the values of a rule and removes duplicates, so that rules with the same meaning are equal.
 fn canonical_rule(rule: MatchRule) -> MatchRule {
     let ordered = |mut values: Vec<model::Name>| {
         values.sort();
@@ -164,19 +172,24 @@
     MatchRule { key: rule.key, operator }
 }
 
-fn check_ranks(walk: &mut TextWalk<'_>, reader: fleet_config::Reader<'_>) -> capnp::Result<()> {
+/// Reports minimum shares whose sum exceeds the limit.
+fn check_ranks(
+    parser: &mut SchemaParser<'_>,
+    reader: fleet_config::Reader<'_>,
+) -> capnp::Result<()> {
     let ranks = reader.get_ranks()?;
     let shares = [ranks.get_urgent()?, ranks.get_interactive()?, ranks.get_batch()?];
     let sum: u32 = shares.iter().map(|share| share.get_floor_percent()).sum();
-    if sum > MAX_FLOOR_SUM {
-        let message =
-            format!("floor_percent of all ranks: expected at most {MAX_FLOOR_SUM}, found {sum}");
-        walk.reject("ranks", message);
+    if sum > MAX_SHARE_SUM_PERCENT {
+        let message = format!(
+            "sum of floor_percent over all ranks: expected at most {MAX_SHARE_SUM_PERCENT}, found {sum}"
+        );
+        parser.reject("ranks", message);
     }
     Ok(())
 }
 
-fn typed_config(reader: fleet_config::Reader<'_>, revision: u64) -> capnp::Result<FleetConfig> {
+fn convert_config(reader: fleet_config::Reader<'_>, revision: u64) -> capnp::Result<FleetConfig> {
     let mut clusters = Vec::new();
     for cluster in reader.get_clusters()? {
         let mut databases = Vec::new();
@@ -184,8 +197,8 @@
             databases.push(DatabaseConfig {
                 name: database.get_name()?.to_str()?.into(),
                 data_centre: database.get_data_centre()?.to_str()?.into(),
-                address: crate::address(database.get_address()?)?,
-                labels: typed_labels(database.get_labels()?)?,
+                address: crate::parse_address(database.get_address()?)?,
+                labels: convert_labels(database.get_labels()?)?,
                 slots: database.get_slots(),
                 connections: database.get_connections(),
                 leaving: database.get_leaving(),
@@ -196,15 +209,15 @@
     let mut callers = Vec::new();
     for caller in reader.get_callers()? {
         callers.push(CallerLabels {
-            matches: typed_selector(caller.get_matches()?)?,
-            labels: typed_labels(caller.get_labels()?)?,
+            matches: convert_selector(caller.get_matches()?)?,
+            labels: convert_labels(caller.get_labels()?)?,
         });
     }
     let mut selectors = Vec::new();
     for selector in reader.get_selectors()? {
         selectors.push(SelectorConfig {
             name: selector.get_name()?.to_str()?.into(),
-            matches: typed_selector(selector.get_matches()?)?,
+            matches: convert_selector(selector.get_matches()?)?,
             rank: match selector.get_rank()? {
                 RankName::Urgent => Rank::Urgent,
                 RankName::Interactive => Rank::Interactive,
@@ -213,7 +226,7 @@
             max_age: Micros::from_millis(selector.get_max_age_ms().into()),
             deadline: Micros::from_millis(selector.get_deadline_ms().into()),
             durable: selector.get_durable(),
-            servers: typed_selector(selector.get_servers()?)?,
+            servers: convert_selector(selector.get_servers()?)?,
         });
     }
     let ranks = reader.get_ranks()?;
@@ -229,7 +242,7 @@
     Ok(FleetConfig { revision, clusters, callers, selectors, ranks })
 }
 
-fn typed_labels(reader: struct_list::Reader<'_, label::Owned>) -> capnp::Result<LabelSet> {
+fn convert_labels(reader: struct_list::Reader<'_, label::Owned>) -> capnp::Result<LabelSet> {
     let mut labels = LabelSet::default();
     for label in reader {
         labels.0.insert(label.get_key()?.to_str()?.into(), label.get_value()?.to_str()?.into());
@@ -237,7 +250,7 @@
     Ok(labels)
 }
 
-fn typed_selector(text: capnp::text::Reader<'_>) -> capnp::Result<LabelSelector> {
+fn convert_selector(text: capnp::text::Reader<'_>) -> capnp::Result<LabelSelector> {
     text.to_str()?
         .parse()
         .map_err(|error: model::LabelError| capnp::Error::failed(error.to_string()))
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -1,4 +1,4 @@
-//! What the schema says of one key.
+//! The specification of a key, read from the schema.
 
 use capnp::dynamic_value::Reader;
 use capnp::introspect::TypeVariant;
@@ -7,11 +7,11 @@
 use schema::annotations_capnp as annotations;
 use schema::annotations_capnp::FieldKind;
 
-/// A key of settings or configuration with its annotations.
+/// A key of the settings or the configuration with its annotations.
 #[derive(Clone)]
 pub(crate) struct KeySpec {
     pub(crate) field: Field,
-    /// In snake_case, as in JSON.
+    /// Name in snake_case, as in JSON.
     pub(crate) name: String,
     pub(crate) doc: &'static str,
     pub(crate) required: bool,
@@ -23,11 +23,11 @@
 }
 
 impl KeySpec {
-    /// Reads a field of the schema.
+    /// Reads the specification of a schema field.
     ///
     /// # Errors
     ///
-    /// Fails if the generated code does not belong to the annotations that this module knows.
+    /// Fails if the generated code does not match the annotations that this module knows.
     pub(crate) fn from_field(field: Field) -> capnp::Result<Self> {
         let name = snake_case(field.get_proto().get_name()?.to_str()?);
         let mut spec = KeySpec {
@@ -85,20 +85,20 @@
         })
     }
 
-    /// Says in words what the key accepts.
-    pub(crate) fn accepted(&self) -> capnp::Result<String> {
-        self.accepted_as(self.field.get_type().which())
+    /// Describes the values that the key accepts.
+    pub(crate) fn expected_value(&self) -> capnp::Result<String> {
+        self.expected_for(self.field.get_type().which())
     }
 
-    /// Says in words what an element of the key's list accepts.
-    pub(crate) fn accepted_element(&self) -> capnp::Result<String> {
+    /// Describes the values that an element of the key's list accepts.
+    pub(crate) fn expected_element(&self) -> capnp::Result<String> {
         match self.field.get_type().which() {
-            TypeVariant::List(element) => self.accepted_as(element.which()),
-            other => self.accepted_as(other),
+            TypeVariant::List(element) => self.expected_for(element.which()),
+            other => self.expected_for(other),
         }
     }
 
-    fn accepted_as(&self, variant: TypeVariant) -> capnp::Result<String> {
+    fn expected_for(&self, variant: TypeVariant) -> capnp::Result<String> {
         Ok(match variant {
             TypeVariant::Bool => "true or false".to_string(),
             TypeVariant::Enum(raw) => {
@@ -150,13 +150,14 @@
     result
 }
 
-/// Writes a text as a JSON string.
+/// Encodes a text as a JSON string.
 pub(crate) fn json_string(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
 
-/// Returns the candidate that is nearest to a mistyped word, if one is near enough to be meant.
-pub(crate) fn nearest<'a>(
+/// Returns the candidate with the smallest edit distance to a mistyped word, if the distance is at most
+/// 1 plus a quarter of the candidate's length.
+pub(crate) fn closest_match<'a>(
     word: &str,
     candidates: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
@@ -172,7 +173,7 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// Counts insertions, deletions and replacements between two words (Levenshtein).
+/// Returns the Levenshtein distance of two words.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings and configuration: reading, checking, and versioned documents.
+//! Parsing and validation of settings and configuration, and a store of versioned documents.
 //!
-//! Both are JSON with comments. The schema in `schema/` says which keys exist, which ranges they
-//! accept, and which defaults and units they have; every error names file, line, column, key and the
-//! accepted range.
+//! Settings and configuration are JSON with comments. The Cap'n Proto schema in the crate `schema`
+//! defines the keys with their accepted ranges, defaults and units. Every error gives the file, line,
+//! column and key; an error about a value also gives what the key accepts.
 
 mod change;
 mod diff;
@@ -10,10 +10,10 @@
 mod fleet;
 mod key;
 mod node;
+mod parser;
 mod render;
-mod walk;
 
-pub use change::{ChangeEnvelope, ChangeError};
+pub use change::{ChangeEnvelope, EnvelopeError};
 pub use diff::diff_lines;
 pub use document::{DocumentOffer, DocumentStore};
 pub use fleet::parse_fleet;
@@ -25,16 +25,16 @@
 #[error("{file}:{line}:{column}: {key}: {message}")]
 pub struct SettingsError {
     pub file: String,
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
     /// Path of the key, such as `clusters[0].databases[1].slots`.
     pub key: String,
     pub message: String,
 }
 
-/// Reports a message that the schema's own code refuses, which only a fault of this crate causes.
+/// Converts an error of the schema's generated code, which only a bug in this crate can cause.
 fn schema_error(file: &str, error: &capnp::Error) -> SettingsError {
     SettingsError {
         file: file.to_string(),
@@ -45,7 +45,7 @@
     }
 }
 
-fn address(text: capnp::text::Reader<'_>) -> capnp::Result<model::SocketAddress> {
+fn parse_address(text: capnp::text::Reader<'_>) -> capnp::Result<model::SocketAddress> {
     text.to_str()?
         .parse()
         .map_err(|error: std::net::AddrParseError| capnp::Error::failed(error.to_string()))
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -1,4 +1,4 @@
-//! Reads a node's settings.
+//! Parsing and validation of a node's settings.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,13 @@
 use schema::settings_capnp::{LogLevel, node_settings};
 
 use crate::SettingsError;
-use crate::walk::TextWalk;
+use crate::parser::SchemaParser;
 
-/// Reads and checks a settings text.
+/// Parses and validates a settings text.
 ///
 /// # Errors
 ///
-/// Returns every error found, in the order of the text.
+/// Returns all errors, in the order of the text.
 ///
 /// ```
 /// let errors = config::parse_settings("settings.jsonc", "{ \"nmae\": \"vm-1\" }").unwrap_err();
@@ -25,18 +25,18 @@
 pub fn parse_settings(file: &str, text: &str) -> Result<NodeSettings, Vec<SettingsError>> {
     let mut message = capnp::message::Builder::new_default();
     let mut root = message.init_root::<node_settings::Builder<'_>>();
-    let mut walk = TextWalk::new(file, text);
+    let mut parser = SchemaParser::new(file, text);
     if let Builder::Struct(builder) = Builder::from(root.reborrow()) {
-        walk.read(builder);
+        parser.parse(builder);
     }
     let reader = root.into_reader();
-    check_addresses(&mut walk, reader);
-    walk.finish()?;
-    typed_settings(reader).map_err(|error| vec![crate::schema_error(file, &error)])
+    check_addresses(&mut parser, reader);
+    parser.finish()?;
+    convert_settings(reader).map_err(|error| vec![crate::schema_error(file, &error)])
 }
 
-/// Two listeners of one process cannot share an address.
-fn check_addresses(walk: &mut TextWalk<'_>, reader: node_settings::Reader<'_>) {
+/// Reports listeners that would share a port, on which a process cannot listen twice.
+fn check_addresses(parser: &mut SchemaParser<'_>, reader: node_settings::Reader<'_>) {
     let keys = [
         ("caller_address", reader.get_caller_address()),
         ("peer_address", reader.get_peer_address()),
@@ -47,21 +47,21 @@
         .filter_map(|(key, text)| Some((key, text.ok()?.to_str().ok()?.parse().ok()?)))
         .collect();
     for (index, (key, address)) in listeners.iter().enumerate() {
-        let same = |other: &&(&str, SocketAddr)| {
+        let shares_port = |other: &&(&str, SocketAddr)| {
             let ip = other.1.ip();
-            let any = ip.is_unspecified() || address.ip().is_unspecified();
-            other.1.port() == address.port() && (any || ip == address.ip())
+            let overlaps = ip.is_unspecified() || address.ip().is_unspecified();
+            other.1.port() == address.port() && (overlaps || ip == address.ip())
         };
-        if let Some((other, _)) = listeners[..index].iter().find(same) {
-            walk.reject(key, format!("same port as {other}: {address}"));
+        if let Some((other, _)) = listeners[..index].iter().find(shares_port) {
+            parser.reject(key, format!("same port as {other}: {address}"));
         }
     }
 }
 
-fn typed_settings(reader: node_settings::Reader<'_>) -> capnp::Result<NodeSettings> {
+fn convert_settings(reader: node_settings::Reader<'_>) -> capnp::Result<NodeSettings> {
     let mut peers = Vec::new();
     for peer in reader.get_peers()? {
-        peers.push(crate::address(peer?)?);
+        peers.push(crate::parse_address(peer?)?);
     }
     let metrics = reader.get_metrics_address()?;
     let log_level = match reader.get_log_level()? {
@@ -74,12 +74,16 @@
     Ok(NodeSettings {
         name: reader.get_name()?.to_str()?.into(),
         data_centre: reader.get_data_centre()?.to_str()?.into(),
-        caller_address: crate::address(reader.get_caller_address()?)?,
-        peer_address: crate::address(reader.get_peer_address()?)?,
-        admin_address: crate::address(reader.get_admin_address()?)?,
-        platform_address: crate::address(reader.get_platform_address()?)?,
+        caller_address: crate::parse_address(reader.get_caller_address()?)?,
+        peer_address: crate::parse_address(reader.get_peer_address()?)?,
+        admin_address: crate::parse_address(reader.get_admin_address()?)?,
+        platform_address: crate::parse_address(reader.get_platform_address()?)?,
         peers,
-        metrics_address: if metrics.is_empty() { None } else { Some(crate::address(metrics)?) },
+        metrics_address: if metrics.is_empty() {
+            None
+        } else {
+            Some(crate::parse_address(metrics)?)
+        },
         database_user: reader.get_database_user()?.to_str()?.into(),
         caller_limit: reader.get_caller_limit(),
         request_limit_bytes: reader.get_request_limit_bytes(),
--- a/crates/config/src/walk.rs
+++ b/crates/config/src/parser.rs
@@ -1,8 +1,8 @@
-//! Walks a JSON text against the schema by reflection.
+//! Parses a JSON text according to the schema, by reflection.
 //!
-//! Every accepted value is written into a Cap'n Proto message of the schema's own type, so the
-//! readers of that type supply the defaults. The walk also remembers where each accepted value
-//! stands, so checks that compare values can name a place too.
+//! Every accepted value is written into a Cap'n Proto message of the schema's type, whose readers supply
+//! the defaults. The parser also records the position of each accepted value, so that checks that
+//! compare values can report a position.
 
 use std::net::SocketAddr;
 
@@ -17,14 +17,14 @@
 use schema::annotations_capnp::FieldKind;
 
 use crate::SettingsError;
-use crate::key::{KeySpec, json_string, nearest};
+use crate::key::{KeySpec, closest_match, json_string};
 
-/// Key shown for errors of the whole text.
-const WHOLE_TEXT: &str = "(document)";
+/// Key shown in errors about the whole text.
+const DOCUMENT_KEY: &str = "(document)";
 
-/// Only what JSON with comments allows; extensions of the parser would be read differently by
-/// other tools.
-const STRICT: ParseOptions = ParseOptions {
+/// Allows only JSON with comments and trailing commas. Other tools would read the further extensions of
+/// the JSON parser differently.
+const JSON_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -37,64 +37,64 @@
     allow_extended_string_escapes: false,
 };
 
-/// One pass over a text.
-pub(crate) struct TextWalk<'a> {
+/// Parser of one text.
+pub(crate) struct SchemaParser<'a> {
     file: &'a str,
     text: &'a str,
-    /// Byte offset of each line's start.
+    /// Byte offset of the start of each line.
     line_starts: Vec<usize>,
     errors: Vec<(usize, SettingsError)>,
     /// Byte offset of each accepted value, by key path.
     offsets: FastMap<String, usize>,
 }
 
-impl<'a> TextWalk<'a> {
+impl<'a> SchemaParser<'a> {
     pub(crate) fn new(file: &'a str, text: &'a str) -> Self {
         let breaks = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let line_starts = std::iter::once(0).chain(breaks.map(|(at, _)| at + 1)).collect();
-        TextWalk { file, text, line_starts, errors: Vec::new(), offsets: FastMap::default() }
+        SchemaParser { file, text, line_starts, errors: Vec::new(), offsets: FastMap::default() }
     }
 
-    /// Reads the text into `builder`; errors are kept.
-    pub(crate) fn read(&mut self, builder: dynamic_struct::Builder<'_>) {
-        let value = match parse_to_ast(self.text, &CollectOptions::default(), &STRICT) {
+    /// Parses the text into `builder` and collects the errors.
+    pub(crate) fn parse(&mut self, builder: dynamic_struct::Builder<'_>) {
+        let value = match parse_to_ast(self.text, &CollectOptions::default(), &JSON_OPTIONS) {
             Ok(result) => result.value,
             Err(error) => {
                 let message = format!("invalid JSON: {}", error.kind());
-                self.error(error.range().start, WHOLE_TEXT, message);
+                self.error(error.range().start, DOCUMENT_KEY, message);
                 return;
             }
         };
-        let walked = match value {
+        let result = match value {
             Some(Value::Object(object)) => self.read_struct("", &object, builder),
             Some(other) => {
-                self.error(other.start(), WHOLE_TEXT, "expected an object".to_string());
+                self.error(other.start(), DOCUMENT_KEY, "expected an object".to_string());
                 return;
             }
             None => {
-                self.error(0, WHOLE_TEXT, "expected an object, found an empty text".to_string());
+                self.error(0, DOCUMENT_KEY, "expected an object, found an empty text".to_string());
                 return;
             }
         };
-        if let Err(error) = walked {
-            self.error(0, WHOLE_TEXT, format!("failed to apply the schema: {error}"));
+        if let Err(error) = result {
+            self.error(0, DOCUMENT_KEY, format!("failed to apply the schema: {error}"));
         }
     }
 
-    /// Adds an error at a key whose value was accepted; without one it is already reported.
+    /// Adds an error at a key whose value was accepted. For any other key an error is already reported.
     pub(crate) fn reject(&mut self, path: &str, message: String) {
         if let Some(offset) = self.offsets.get(path) {
             self.error(*offset, path, message);
         }
     }
 
-    /// Tells whether the key is present with an accepted value.
-    pub(crate) fn accepted(&self, path: &str) -> bool {
+    /// Returns whether the key is present with an accepted value.
+    pub(crate) fn is_accepted(&self, path: &str) -> bool {
         self.offsets.contains_key(path)
     }
 
-    /// Returns `line N` of an accepted key, for messages that refer to another place.
-    pub(crate) fn place(&self, path: &str) -> String {
+    /// Returns the line of an accepted key as `line N`, for messages that refer to another key.
+    pub(crate) fn line_of(&self, path: &str) -> String {
         let offset = self.offsets.get(path).copied().unwrap_or_default();
         format!("line {}", self.position(offset).0)
     }
@@ -110,12 +110,12 @@
 
     fn error(&mut self, offset: usize, key: &str, message: String) {
         let (line, column) = self.position(offset);
-        let key = if key.is_empty() { WHOLE_TEXT } else { key }.to_string();
+        let key = if key.is_empty() { DOCUMENT_KEY } else { key }.to_string();
         let error = SettingsError { file: self.file.to_string(), line, column, key, message };
         self.errors.push((offset, error));
     }
 
-    /// Converts a byte offset to line and column, both from 1, columns in characters.
+    /// Converts a byte offset to line and column. Both count from 1, columns in characters.
     fn position(&self, offset: usize) -> (usize, usize) {
         let line = self.line_starts.partition_point(|start| *start <= offset).max(1);
         let start = self.line_starts[line - 1];
@@ -134,9 +134,9 @@
         let mut seen: FastMap<&str, usize> = FastMap::default();
         for property in &object.properties {
             let name = property.name.as_str();
-            let key = join(path, name);
+            let key = join_path(path, name);
             let Some(spec) = specs.iter().find(|spec| spec.name == name) else {
-                self.error(property.start(), &key, unknown_key(name, &specs));
+                self.error(property.start(), &key, unknown_key_message(name, &specs));
                 continue;
             };
             if let Some(first) = seen.insert(&spec.name, property.start()) {
@@ -149,8 +149,8 @@
         }
         for spec in specs.iter().filter(|spec| spec.required) {
             if !seen.contains_key(spec.name.as_str()) {
-                let message = format!("missing required key: expected {}", spec.accepted()?);
-                self.error(object.start(), &join(path, &spec.name), message);
+                let message = format!("missing required key: expected {}", spec.expected_value()?);
+                self.error(object.start(), &join_path(path, &spec.name), message);
             }
         }
         Ok(())
@@ -175,12 +175,12 @@
             (TypeVariant::List(element), Value::Array(array)) if spec.kind != FieldKind::Labels => {
                 let count = array.elements.len() as u64;
                 if count < spec.min || count > spec.max {
-                    let message = format!("expected {}, found {count}", spec.accepted()?);
+                    let message = format!("expected {}, found {count}", spec.expected_value()?);
                     self.error(array.start(), path, message);
                 }
                 self.offsets.insert(path.to_string(), array.start());
-                // Entries beyond the limit are already reported; they are not read, which bounds
-                // the work for a text of any size.
+                // Entries beyond the limit are already reported. They are not parsed, which bounds the
+                // time and memory for a text of any size.
                 let count = count.min(spec.max) as u32;
                 let Builder::List(mut list) = builder.initn(spec.field, count)? else {
                     return Ok(());
@@ -198,7 +198,7 @@
                                 list.set(index, Reader::Text(literal.value.as_ref().into()))?;
                             }
                         }
-                        _ => self.wrong_type(&path, item, spec.accepted_element()?),
+                        _ => self.unexpected_value(&path, item, spec.expected_element()?),
                     }
                 }
             }
@@ -212,7 +212,7 @@
                         self.offsets.insert(path.to_string(), value.start());
                         builder.set(spec.field, Reader::UInt32(number))?;
                     }
-                    _ => self.wrong_type(path, value, spec.accepted()?),
+                    _ => self.unexpected_value(path, value, spec.expected_value()?),
                 }
             }
             (TypeVariant::Enum(raw), Value::StringLit(literal)) => {
@@ -229,7 +229,7 @@
                         let value = Enum::new(ordinal, EnumSchema::new(raw));
                         builder.set(spec.field, Reader::Enum(value))?;
                     }
-                    None => self.wrong_type(path, value, spec.accepted()?),
+                    None => self.unexpected_value(path, value, spec.expected_value()?),
                 }
             }
             (TypeVariant::Text, Value::StringLit(literal)) => {
@@ -237,7 +237,7 @@
                     builder.set(spec.field, Reader::Text(literal.value.as_ref().into()))?;
                 }
             }
-            _ => self.wrong_type(path, value, spec.accepted()?),
+            _ => self.unexpected_value(path, value, spec.expected_value()?),
         }
         Ok(())
     }
@@ -252,16 +252,16 @@
         let mut labels: Vec<(&str, &str)> = Vec::new();
         for property in &object.properties {
             let name = property.name.as_str();
-            let key = join(path, name);
+            let key = join_path(path, name);
             let Value::StringLit(literal) = &property.value else {
-                self.wrong_type(&key, &property.value, "a text in quotes".to_string());
+                self.unexpected_value(&key, &property.value, "a text in quotes".to_string());
                 continue;
             };
             if labels.iter().any(|(other, _)| *other == name) {
                 self.error(property.start(), &key, "duplicate label".to_string());
-            } else if let Some(reason) = word_error(name) {
+            } else if let Some(reason) = label_error(name) {
                 self.error(property.start(), &key, format!("invalid label key {name:?}: {reason}"));
-            } else if let Some(reason) = word_error(&literal.value) {
+            } else if let Some(reason) = label_error(&literal.value) {
                 let message = format!("invalid label value {:?}: {reason}", literal.value);
                 self.error(literal.start(), &key, message);
             } else {
@@ -271,7 +271,7 @@
         }
         if object.properties.len() as u64 > spec.max {
             let message =
-                format!("expected {}, found {}", spec.accepted()?, object.properties.len());
+                format!("expected {}, found {}", spec.expected_value()?, object.properties.len());
             self.error(object.start(), path, message);
             return Ok(());
         }
@@ -288,7 +288,7 @@
         Ok(())
     }
 
-    /// Checks a text by its kind; returns whether it is accepted.
+    /// Checks a text according to its kind. Returns whether it is accepted.
     fn check_text(
         &mut self,
         path: &str,
@@ -309,7 +309,7 @@
             FieldKind::Selector => match text.parse::<LabelSelector>() {
                 Ok(_) => true,
                 Err(error) => {
-                    // With escapes the offset inside the literal differs from that in the text.
+                    // In a literal with escapes the offset differs from the one in the decoded text.
                     let literal = &self.text[node.start()..node.end()];
                     let inside = match text.find(&error.part) {
                         Some(at) if !literal.contains('\\') => 1 + at,
@@ -323,19 +323,20 @@
         if accepted {
             self.offsets.insert(path.to_string(), node.start());
         } else {
-            self.wrong_type(path, node, spec.accepted_element()?);
+            self.unexpected_value(path, node, spec.expected_element()?);
         }
         Ok(accepted)
     }
 
-    fn wrong_type(&mut self, path: &str, found: &Value<'_>, expected: String) {
-        const MAX_SHOWN: usize = 80;
+    /// Adds an error for a value that the key does not accept.
+    fn unexpected_value(&mut self, path: &str, found: &Value<'_>, expected: String) {
+        const MAX_SHOWN_CHARS: usize = 80;
         let shown = match found {
             Value::StringLit(literal) => {
-                let text: String = literal.value.chars().take(MAX_SHOWN).collect();
+                let text: String = literal.value.chars().take(MAX_SHOWN_CHARS).collect();
                 json_string(&text)
             }
-            Value::NumberLit(literal) => literal.value.chars().take(MAX_SHOWN).collect(),
+            Value::NumberLit(literal) => literal.value.chars().take(MAX_SHOWN_CHARS).collect(),
             Value::BooleanLit(literal) => literal.value.to_string(),
             Value::Object(_) => "an object".to_string(),
             Value::Array(_) => "a list".to_string(),
@@ -354,15 +355,15 @@
     Ok(specs)
 }
 
-fn unknown_key(name: &str, specs: &[KeySpec]) -> String {
+fn unknown_key_message(name: &str, specs: &[KeySpec]) -> String {
     let names = specs.iter().map(|spec| spec.name.as_str());
-    match nearest(name, names.clone()) {
-        Some(near) => format!("unknown key, did you mean {near:?}?"),
-        None => format!("unknown key, known are {}", names.collect::<Vec<_>>().join(", ")),
+    match closest_match(name, names.clone()) {
+        Some(closest) => format!("unknown key, did you mean {closest:?}?"),
+        None => format!("unknown key, known keys are {}", names.collect::<Vec<_>>().join(", ")),
     }
 }
 
-fn join(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_string() } else { format!("{path}.{name}") }
 }
 
@@ -373,9 +374,9 @@
         && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// Says why a text is no label key or value.
-fn word_error(text: &str) -> Option<String> {
-    // A label set of one pair accepts exactly the words that selectors can name.
+/// Returns the reason why a text is not a valid label key or value.
+fn label_error(text: &str) -> Option<String> {
+    // Parsing a label set of one pair accepts exactly the words that a selector can contain.
     if text.contains(['=', ',']) || text.trim() != text {
         return Some("allowed are letters, digits and -_./:".to_string());
     }
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -1,4 +1,4 @@
-//! Documented examples of both files, written from the schema.
+//! Examples of both files with documentation in comments, generated from the schema.
 
 use std::fmt::Write;
 
@@ -6,9 +6,9 @@
 use capnp::schema::StructSchema;
 use schema::annotations_capnp::FieldKind;
 
-use crate::walk::key_specs;
+use crate::parser::key_specs;
 
-/// A file that has a documented example.
+/// A kind of file that has an example.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExampleFile {
     /// Settings of one node.
@@ -17,7 +17,7 @@
     Fleet,
 }
 
-/// Writes an example with all keys, and in comments their meaning, unit, range and default.
+/// Generates an example with all keys. Comments give the meaning, unit, range and default of each key.
 ///
 /// ```
 /// let text = config::render_example(config::ExampleFile::Settings);
@@ -30,8 +30,8 @@
     };
     let mut text = String::new();
     if let TypeVariant::Struct(raw) = root.which() {
-        // The schema is compiled in, so it can be read unless the crates do not fit together; the
-        // test that parses the example would fail then.
+        // Reading the compiled-in schema fails only if the crates do not match. The tests that parse the
+        // examples would then fail.
         let _ = render_struct(&mut text, StructSchema::new(raw), 0);
     }
     text.push('\n');
@@ -45,15 +45,15 @@
     for (index, spec) in specs.iter().enumerate() {
         let default = spec.default_json()?;
         let _ = writeln!(text, "{indent}// {}", spec.doc);
-        let mut remark = capitalised(&spec.accepted()?);
+        let mut value_comment = capitalize(&spec.expected_value()?);
         match &default {
             Some(default) => {
-                let _ = write!(remark, ". Default {default}.");
+                let _ = write!(value_comment, ". Default {default}.");
             }
-            None if spec.required => remark.push_str(". Required."),
-            None => remark.push_str(". Optional."),
+            None if spec.required => value_comment.push_str(". Required."),
+            None => value_comment.push_str(". Optional."),
         }
-        let _ = writeln!(text, "{indent}// {remark}");
+        let _ = writeln!(text, "{indent}// {value_comment}");
         let _ = write!(text, "{indent}\"{}\": ", spec.name);
         match (spec.field.get_type().which(), spec.example) {
             (_, Some(example)) => text.push_str(example),
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-fn capitalised(text: &str) -> String {
+fn capitalize(text: &str) -> String {
     let mut characters = text.chars();
     match characters.next() {
         Some(first) => first.to_ascii_uppercase().to_string() + characters.as_str(),
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,9 +1,9 @@
-//! Error output of bad files. Guards against errors that name no place, key or accepted range, and
-//! against checks that disappear.
+//! Errors of invalid files. Guards against errors that lack the position, the key or the accepted range,
+//! and against validation checks that are lost.
 
 use config::{ExampleFile, SettingsError, parse_fleet, parse_settings, render_example};
 
-fn show<T>(result: Result<T, Vec<SettingsError>>) -> String {
+fn format_errors<T>(result: Result<T, Vec<SettingsError>>) -> String {
     match result {
         Ok(_) => "accepted\n".to_string(),
         Err(errors) => errors.iter().map(|error| format!("{error}\n")).collect(),
@@ -11,14 +11,14 @@
 }
 
 fn settings(text: &str) -> String {
-    show(parse_settings("s.jsonc", text))
+    format_errors(parse_settings("s.jsonc", text))
 }
 
 fn fleet(text: &str) -> String {
-    show(parse_fleet("f.jsonc", text, 1))
+    format_errors(parse_fleet("f.jsonc", text, 1))
 }
 
-/// A fleet text with one valid cluster and the given other keys.
+/// Errors of a configuration with one valid cluster and the given other keys.
 fn fleet_with(rest: &str) -> String {
     fleet(&format!(
         r#"{{ "clusters": [{{ "name": "billing-1", "databases": [
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn rank_floors_above_the_limit() {
+fn minimum_shares_above_the_limit() {
     insta::assert_snapshot!(fleet_with(
         r#""ranks": { "urgent": { "floor_percent": 50 }, "interactive": { "floor_percent": 35 } }"#
     ));
