--- a/crates/config/tests/arbitrary.rs
+++ b/crates/config/tests/arbitrary.rs
@@ -1,4 +1,4 @@
-//! Guards against panics on texts that operators may write, and against examples that do not parse.
+//! Guards against panics on arbitrary input, and against examples that do not parse.
 
 use config::{ExampleFile, diff_lines, parse_fleet, parse_settings, render_example};
 use proptest::prelude::*;
@@ -18,16 +18,16 @@
         let _ = parse_fleet("f", &text, 1);
     }
 
-    /// JSON-like texts reach further into the walk than arbitrary ones.
+    /// JSON-like texts reach further into the parser than arbitrary ones.
     #[test]
     fn json_like_text_never_panics(text in "[\\[\\]{}:,\"a-c0-9 éü/*\\\\\n.-]{0,80}") {
         let _ = parse_settings("s", &text);
         let _ = parse_fleet("f", &text, 1);
     }
 
-    /// A damaged example is either accepted or has errors that lie within the text.
+    /// An example with random edits is either accepted or gives errors whose positions lie in the text.
     #[test]
-    fn damaged_examples_have_placed_errors(at in 0usize..6000, cut in 0usize..40, put in ".{0,3}") {
+    fn errors_of_edited_examples_lie_within_the_text(at in 0usize..6000, cut in 0usize..40, put in ".{0,3}") {
         for file in [ExampleFile::Settings, ExampleFile::Fleet] {
             let mut text: Vec<char> = render_example(file).chars().collect();
             let start = at.min(text.len());
@@ -47,7 +47,7 @@
     }
 
     #[test]
-    fn equal_texts_have_no_difference(text in any::<String>()) {
+    fn diff_of_equal_texts_is_empty(text in any::<String>()) {
         prop_assert_eq!(diff_lines("a", &text, "b", &text), "");
     }
 }
