--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -2,12 +2,12 @@
 
 use platform::PlatformError;
 
-/// Kind of a failed command.
+/// Kind of a command's failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
     Failed,
     Usage,
-    /// A file or answer with errors.
+    /// An input, such as a file or a selector, is invalid.
     Invalid,
     /// Another change was accepted first.
     Conflict,
@@ -28,12 +28,12 @@
     }
 }
 
-/// A failed command.
+/// Error of a command.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct CommandError {
     pub kind: ErrorKind,
-    /// Empty if the output already says what failed.
+    /// Empty if the output already describes the error.
     pub message: String,
 }
 
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! Command line.
+//! Definition of the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,8 +1,8 @@
-//! `cicadawick`: the operators' client.
+//! `cicadawick`: the operators' command-line program.
 //!
-//! Changes of the configuration go through the platform's key-value service under compare-and-swap;
-//! questions about running nodes go to the nodes' HTTP interface. Every command collects its output
-//! as text or JSON and returns an error kind that decides the exit code.
+//! The configuration is changed by compare-and-swap in the platform's key-value service. Running nodes
+//! are queried through their HTTP interface. Every command collects its output as text or JSON and
+//! returns an error kind that determines the exit code.
 
 mod change;
 mod error;
@@ -23,15 +23,15 @@
 use crate::flags::{CicadawickCmd, KeysCmd, RolloutCmd};
 use crate::remote::NodeQuery;
 
-/// Time that one call to the platform may take.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a command takes from its environment.
+/// Values that a command takes from the environment.
 #[derive(Clone, Debug, Default)]
 pub struct CommandEnvironment {
-    /// Value of CICADAWICK_PLATFORM.
+    /// Value of the variable CICADAWICK_PLATFORM.
     pub platform: Option<String>,
-    /// Name of the operating system's user, the default author of a change.
+    /// Name of the operating system user, the default author of a change.
     pub user: Option<String>,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// What a command prints.
+/// Output of a command.
 #[derive(Debug, Default)]
 pub struct CommandOutput {
-    /// Goes to standard output.
+    /// Text for standard output.
     pub text: String,
-    /// Goes to standard error.
+    /// Text for standard error.
     pub notes: String,
 }
 
@@ -67,17 +67,17 @@
         self.notes.push('\n');
     }
 
-    /// Adds a value as indented JSON.
+    /// Adds a value as indented JSON to standard output.
     pub(crate) fn json(&mut self, value: &serde_json::Value) {
         self.line(format!("{value:#}"));
     }
 }
 
-/// Runs a command line without the program's name.
+/// Runs a command. `arguments` does not include the program's name.
 ///
 /// # Errors
 ///
-/// Fails with the kind that decides the exit code; output collected before is in `output`.
+/// Fails with the kind that determines the exit code. `output` holds what was collected until then.
 ///
 /// ```
 /// let mut output = cli::CommandOutput::default();
@@ -142,8 +142,8 @@
         }
         CicadawickCmd::Rollout(rollout) => match rollout.subcommand {
             RolloutCmd::Status(status) => {
-                let named = flags.platform.is_some() || environment.platform.is_some();
-                let platform = if named { Some(platform()?) } else { None };
+                let has_address = flags.platform.is_some() || environment.platform.is_some();
+                let platform = if has_address { Some(platform()?) } else { None };
                 let query = NodeQuery::new(status.node, status.all);
                 node::rollout(&query, platform.as_ref(), json, output)
             }
--- a/crates/cli/src/matching.rs
+++ b/crates/cli/src/matching.rs
@@ -1,4 +1,4 @@
-//! What a selector matches.
+//! The `match` command: what a selector matches.
 
 use model::{CallerLabels, FleetConfig, LabelSelector, LabelSet, MatchOperator};
 use platform::PlatformClient;
@@ -9,10 +9,10 @@
 use crate::remote::{NodeAnswer, NodeQuery};
 use crate::{CommandOutput, change, text};
 
-/// Combinations of attribute values tried for one entry of `callers`.
+/// Maximum number of combinations of attribute values tried for one entry of `callers`.
 const COMBINATION_LIMIT: usize = 1_024;
 
-/// `match`: callers, databases and sessions that a selector matches.
+/// `match`: shows the callers, databases and sessions that a selector matches.
 pub(crate) fn show_matches(
     selector: &str,
     platform: &PlatformClient,
@@ -33,7 +33,7 @@
     let callers: Vec<&CallerLabels> = fleet
         .callers
         .iter()
-        .filter(|entry| caller_sets(entry).iter().any(|labels| selector.matches(labels)))
+        .filter(|entry| possible_label_sets(entry).iter().any(|labels| selector.matches(labels)))
         .collect();
     let databases = matching_databases(&fleet, &selector);
     let answers = query.map(|query| query.get("/v1/dump", &[])).transpose()?;
@@ -84,9 +84,9 @@
     }
 }
 
-/// Returns label sets that callers of an entry can have: the labels that it attaches and the
-/// attributes that it asks for.
-fn caller_sets(entry: &CallerLabels) -> Vec<LabelSet> {
+/// Returns the label sets that callers of an entry can have: the labels that the entry adds, combined
+/// with the attribute values that it requires.
+fn possible_label_sets(entry: &CallerLabels) -> Vec<LabelSet> {
     let mut sets = vec![entry.labels.clone()];
     for rule in &entry.matches.rules {
         let MatchOperator::In(values) = &rule.operator else { continue };
@@ -127,7 +127,7 @@
     let (mut unlabelled, mut unlisted) = (0, 0);
     for answer in answers {
         let Ok(dump) = &answer.result else { continue };
-        // A node's own lists carry the labels. A dump without them has only the shell's list.
+        // The node's session lists include labels. A dump without these lists has only the shell's list.
         let paths: &[&str] = match dump.get("sessions") {
             Some(_) => &["/sessions/in_progress", "/sessions/idle"],
             None => &["/shell/sessions"],
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -1,4 +1,4 @@
-//! Calls to the nodes' HTTP interface.
+//! Client of the nodes' HTTP interface.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -9,27 +9,27 @@
 
 use crate::error::{CommandError, ErrorKind};
 
-/// Time that one call to a node may take. A node answers within 5 s or says that it cannot.
+/// Timeout of a call to a node. A node answers within 5 s, if only with an error.
 const NODE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Nodes that are asked at the same time.
+/// Number of nodes that are queried at the same time.
 const PARALLEL_CALLS: usize = 32;
 
-/// Largest answer of a node, in bytes.
+/// Maximum size of a node's answer.
 const ANSWER_LIMIT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Which nodes a command asks.
+/// The nodes that a command queries.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NodeQuery {
     pub(crate) node: SocketAddr,
-    /// Also the members that this node knows.
+    /// Whether to query all members that the node knows.
     pub(crate) all: bool,
 }
 
 /// A node's answer to one call.
 pub(crate) struct NodeAnswer {
     pub(crate) name: String,
-    /// State of the member in the named node's table; `None` if only that node was asked.
+    /// State of the member in the queried node's member table; `None` if only that node was queried.
     pub(crate) state: Option<String>,
     pub(crate) result: Result<Value, CommandError>,
 }
@@ -46,11 +46,12 @@
         NodeQuery { node, all }
     }
 
-    /// Makes a GET call to the queried nodes. Dead members are not asked.
+    /// Makes a GET call to the node, or to all members. Dead members are not called.
     ///
     /// # Errors
     ///
-    /// Fails if the named node fails; failures of other members are in their answers.
+    /// Fails if the call to the named node fails, or if its dump lists no members. Failures of members are
+    /// in their answers.
     pub(crate) fn get(
         &self,
         path: &str,
@@ -69,7 +70,7 @@
         })?;
         let next = Mutex::new(members.into_iter());
         let answers = Mutex::new(Vec::new());
-        let work = || {
+        let worker = || {
             loop {
                 let Some(member) = next.lock().ok().and_then(|mut members| members.next()) else {
                     return;
@@ -89,7 +90,7 @@
         };
         std::thread::scope(|scope| {
             for _ in 0..PARALLEL_CALLS {
-                scope.spawn(work);
+                scope.spawn(worker);
             }
         });
         let mut answers = answers.into_inner().unwrap_or_default();
@@ -113,7 +114,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the node cannot be reached, or with the error that it answers.
+/// Fails if the node cannot be reached, or with the error that the node answers.
 pub(crate) fn call(
     address: SocketAddr,
     method: &str,
@@ -146,19 +147,19 @@
     let body = response.body_mut().with_config().limit(ANSWER_LIMIT_BYTES).read_to_vec();
     let body = body.map_err(unreachable)?;
     let value: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
-    let said = value.get("error").and_then(Value::as_str).map(str::to_string);
-    match (status, said) {
+    let error_text = value.get("error").and_then(Value::as_str).map(str::to_string);
+    match (status, error_text) {
         (200, None) if value.is_null() => {
             let message = format!("the node at {address} sent an answer that cannot be read");
             Err(CommandError::new(ErrorKind::Failed, message))
         }
         (200, None) => Ok(value),
-        (400, Some(said)) => Err(CommandError::new(ErrorKind::Usage, said)),
-        (503, Some(said)) => {
-            let message = format!("the node at {address} is not available: {said}");
+        (400, Some(error_text)) => Err(CommandError::new(ErrorKind::Usage, error_text)),
+        (503, Some(error_text)) => {
+            let message = format!("the node at {address} is not available: {error_text}");
             Err(CommandError::new(ErrorKind::Unreachable, message))
         }
-        (_, Some(said)) => Err(CommandError::new(ErrorKind::Failed, said)),
+        (_, Some(error_text)) => Err(CommandError::new(ErrorKind::Failed, error_text)),
         (status, None) => {
             let message = format!("the node at {address} answered status {status}");
             Err(CommandError::new(ErrorKind::Failed, message))
--- a/crates/cli/src/text.rs
+++ b/crates/cli/src/text.rs
@@ -1,21 +1,20 @@
-//! Tables and times as text.
+//! Formatting of tables and times.
 
-/// Writes rows under a header, columns aligned. Columns of which all cells are numbers are aligned to
-/// the right.
+/// Formats rows under a header with aligned columns. Columns with only numeric cells are right-aligned.
 pub(crate) fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
         let widest = cells.map(|cell| cell.chars().count()).max().unwrap_or(0);
         widest.max(header[column].chars().count())
     };
-    let numeric = |column: usize| {
+    let is_numeric = |column: usize| {
         let cell = |row: &Vec<String>| {
             row.get(column).is_some_and(|cell| cell == "-" || cell.parse::<f64>().is_ok())
         };
         !rows.is_empty() && rows.iter().all(cell)
     };
     let columns: Vec<(usize, bool)> =
-        (0..header.len()).map(|column| (width(column), numeric(column))).collect();
+        (0..header.len()).map(|column| (width(column), is_numeric(column))).collect();
     let mut text = String::new();
     let header: Vec<String> = header.iter().map(|cell| cell.to_string()).collect();
     for row in std::iter::once(&header).chain(rows) {
@@ -35,12 +34,12 @@
     text
 }
 
-/// Writes seconds since 1970 as UTC date and time.
+/// Formats a Unix time in seconds as UTC date and time.
 pub(crate) fn utc_time(seconds: u64) -> String {
     let (days, rest) = (seconds / 86_400, seconds % 86_400);
-    // Civil date from days, with years that start in March so that the leap day comes last.
-    let shifted = days + 719_468;
-    let (era, day_of_era) = (shifted / 146_097, shifted % 146_097);
+    // Converts days to a civil date, with years that start in March so that the leap day comes last.
+    let shifted_days = days + 719_468;
+    let (era, day_of_era) = (shifted_days / 146_097, shifted_days % 146_097);
     let year_of_era =
         (day_of_era - day_of_era / 1_460 + day_of_era / 36_524 - day_of_era / 146_096) / 365;
     let day_of_year = day_of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
@@ -52,7 +51,7 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Writes a JSON value as a table cell.
+/// Formats a JSON value as a table cell.
 pub(crate) fn cell(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::Null => "-".to_string(),
