--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -12,41 +12,42 @@
 use crate::flags::{Apply, Check, Diff, Get};
 use crate::{CommandOutput, text};
 
-/// Key of the configuration at the platform.
+/// Key of the configuration on the platform.
 pub(crate) const CONFIG_KEY: &str = "cicadawick/config";
 
-/// Largest value that the platform stores.
+/// Maximum size of a value that the platform stores.
 const VALUE_LIMIT_BYTES: usize = 1_000_000;
 
-/// Earlier revisions that the envelope lists.
+/// Maximum number of earlier revisions in the stored history.
 const HISTORY_LIMIT: usize = 20;
 
-/// Attempts to find out whether a write whose answer was lost took effect.
+/// Maximum number of attempts to write a value. Each is followed by a read, which shows whether a write
+/// without an answer took effect.
 pub(crate) const RESOLVE_ATTEMPTS: u32 = 5;
-pub(crate) const RESOLVE_PAUSE: Duration = Duration::from_millis(500);
+pub(crate) const RESOLVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the history keeps of a change.
+/// History entry of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ChangeHead {
+pub(crate) struct ChangeSummary {
     pub(crate) revision: u64,
     pub(crate) change_id: String,
     pub(crate) author: String,
     pub(crate) written_at: u64,
 }
 
-/// The stored value: the envelope and the heads of earlier ones, newest first. Nodes read only the
-/// envelope. One value holds both, so the history cannot miss a change.
+/// The stored value: the envelope and the history of earlier changes, newest first. Nodes read only the
+/// envelope. Both are in one value, so that the history cannot miss a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoredChange {
     #[serde(flatten)]
     pub(crate) envelope: ChangeEnvelope,
     #[serde(default)]
-    pub(crate) history: Vec<ChangeHead>,
+    pub(crate) history: Vec<ChangeSummary>,
 }
 
 impl StoredChange {
-    fn head(&self) -> ChangeHead {
-        ChangeHead {
+    fn summary(&self) -> ChangeSummary {
+        ChangeSummary {
             revision: self.envelope.revision,
             change_id: self.envelope.change_id.clone(),
             author: self.envelope.author.clone(),
@@ -54,12 +55,12 @@
         }
     }
 
-    fn heads(&self) -> Vec<ChangeHead> {
-        std::iter::once(self.head()).chain(self.history.iter().cloned()).collect()
+    fn summaries(&self) -> Vec<ChangeSummary> {
+        std::iter::once(self.summary()).chain(self.history.iter().cloned()).collect()
     }
 }
 
-/// Reads the configuration in force and its index; `None` and 0 before the first change.
+/// Reads the configuration in force and its modify index; `None` and 0 before the first change.
 pub(crate) fn read_stored(
     platform: &PlatformClient,
 ) -> Result<(Option<StoredChange>, u64), CommandError> {
@@ -73,8 +74,8 @@
 
 /// Reads the configuration in force.
 pub(crate) fn read_current(platform: &PlatformClient) -> Result<StoredChange, CommandError> {
-    let none = || CommandError::new(ErrorKind::Failed, "no configuration has been applied yet");
-    read_stored(platform)?.0.ok_or_else(none)
+    let missing = || CommandError::new(ErrorKind::Failed, "no configuration has been applied yet");
+    read_stored(platform)?.0.ok_or_else(missing)
 }
 
 fn read_file(path: &Path) -> Result<String, CommandError> {
@@ -148,7 +149,7 @@
     Ok(())
 }
 
-/// `apply`: validates, shows the difference, and writes the next revision.
+/// `apply`: validates a file, shows the difference, and writes the next revision.
 pub(crate) fn apply(
     flags: &Apply,
     author: &str,
@@ -162,15 +163,16 @@
         return Err(report_errors(&errors, json, output));
     }
     let platform = platform()?;
-    let (held, index) = read_stored(&platform)?;
-    let (old_revision, old_text) =
-        held.as_ref().map_or((0, ""), |held| (held.envelope.revision, held.envelope.text.as_str()));
-    if held.is_some() && old_text == text {
+    let (current, index) = read_stored(&platform)?;
+    let (old_revision, old_text) = current
+        .as_ref()
+        .map_or((0, ""), |current| (current.envelope.revision, current.envelope.text.as_str()));
+    if current.is_some() && old_text == text {
         let message = format!("no change: revision {old_revision} has the same text");
         return Err(CommandError::new(ErrorKind::Failed, message));
     }
     let difference = diff_lines(&format!("revision {old_revision}"), old_text, &file, &text);
-    let mut history = held.as_ref().map(StoredChange::heads).unwrap_or_default();
+    let mut history = current.as_ref().map(StoredChange::summaries).unwrap_or_default();
     history.truncate(HISTORY_LIMIT);
     let envelope = ChangeEnvelope {
         revision: old_revision + 1,
@@ -213,9 +215,9 @@
     Ok(())
 }
 
-/// Writes under compare-and-swap. After a lost answer the change id at the platform tells whether
-/// the write took effect; while the old value is still there, it is written again, which the index
-/// makes safe.
+/// Writes the change by compare-and-swap. After a lost answer, the stored change id shows whether the
+/// write took effect. While the old value is still stored, the write is repeated; the modify index keeps
+/// it from being applied twice.
 fn write_change(
     platform: &PlatformClient,
     change: &StoredChange,
@@ -223,7 +225,7 @@
     index: u64,
     output: &mut CommandOutput,
 ) -> Result<(), CommandError> {
-    let own = &change.envelope.change_id;
+    let own_id = &change.envelope.change_id;
     for attempt in 1..=RESOLVE_ATTEMPTS {
         let refused = match platform.put(CONFIG_KEY, bytes, index) {
             Ok(true) => return Ok(()),
@@ -235,28 +237,34 @@
             Err(error) => return Err(error.into()),
         };
         match read_stored(platform) {
-            Ok((Some(stored), _)) if stored.envelope.change_id == *own => return Ok(()),
-            Ok((Some(stored), _)) if stored.history.iter().any(|head| head.change_id == *own) => {
+            Ok((Some(stored), _)) if stored.envelope.change_id == *own_id => return Ok(()),
+            Ok((Some(stored), _))
+                if stored.history.iter().any(|earlier| earlier.change_id == *own_id) =>
+            {
                 let revision = stored.envelope.revision;
-                output.note(format!("revision {revision} has replaced this change since"));
+                output.note(format!(
+                    "this change was applied and then replaced by revision {revision}"
+                ));
                 return Ok(());
             }
             Ok((stored, found)) if found != index => return Err(conflict(stored.as_ref())),
-            // The write may still be on its way.
+            // The write may still be in transit.
             Ok(_) if !refused => {}
-            // Refused, but read as unchanged: the value was read from a server that lags.
-            Ok(_) => output.note("the platform refused the write but shows no other change yet"),
+            // Refused, but read as unchanged: the value came from a platform server that lags.
+            Ok(_) => {
+                output.note("the platform refused the write but does not return a newer change yet")
+            }
             Err(error) if error.kind == ErrorKind::Unreachable => {
-                output.note(format!("failed to read back: {error}"));
+                output.note(format!("failed to check whether the write took effect: {error}"));
             }
             Err(error) => return Err(error),
         }
         if attempt < RESOLVE_ATTEMPTS {
-            std::thread::sleep(RESOLVE_PAUSE);
+            std::thread::sleep(RESOLVE_INTERVAL);
         }
     }
     let message = format!(
-        "outcome unknown: the platform did not answer; compare the change id {own} with `cicadawick \
+        "outcome unknown: the platform did not answer; compare the change id {own_id} with `cicadawick \
          history` before applying again"
     );
     Err(CommandError::new(ErrorKind::Unreachable, message))
@@ -268,9 +276,8 @@
             "conflict: {} applied revision {} first (change {}); nothing was changed",
             winner.envelope.author, winner.envelope.revision, winner.envelope.change_id
         ),
-        None => {
-            "conflict: the configuration was removed meanwhile; nothing was changed".to_string()
-        }
+        None => "conflict: the configuration was removed in the meantime; nothing was changed"
+            .to_string(),
     };
     CommandError::new(ErrorKind::Conflict, message)
 }
@@ -311,9 +318,10 @@
     output: &mut CommandOutput,
 ) -> Result<(), CommandError> {
     let text = read_file(&flags.file)?;
-    let (held, _) = read_stored(platform)?;
-    let (revision, old) =
-        held.as_ref().map_or((0, ""), |held| (held.envelope.revision, held.envelope.text.as_str()));
+    let (current, _) = read_stored(platform)?;
+    let (revision, old) = current
+        .as_ref()
+        .map_or((0, ""), |current| (current.envelope.revision, current.envelope.text.as_str()));
     let file = flags.file.display().to_string();
     let difference = diff_lines(&format!("revision {revision}"), old, &file, &text);
     if json {
@@ -332,16 +340,16 @@
     json: bool,
     output: &mut CommandOutput,
 ) -> Result<(), CommandError> {
-    let heads = read_current(platform)?.heads();
+    let changes = read_current(platform)?.summaries();
     if json {
-        output.json(&json!(heads));
+        output.json(&json!(changes));
         return Ok(());
     }
-    let rows: Vec<Vec<String>> = heads
+    let rows: Vec<Vec<String>> = changes
         .into_iter()
-        .map(|head| {
-            let time = text::utc_time(head.written_at);
-            vec![head.revision.to_string(), time, head.author, head.change_id]
+        .map(|change| {
+            let time = text::utc_time(change.written_at);
+            vec![change.revision.to_string(), time, change.author, change.change_id]
         })
         .collect();
     output.text.push_str(&text::table(&["REVISION", "WRITTEN", "AUTHOR", "CHANGE"], &rows));
@@ -352,7 +360,7 @@
 pub(crate) fn random_hex<const BYTES: usize>() -> Result<String, CommandError> {
     let mut bytes = [0u8; BYTES];
     getrandom::fill(&mut bytes).map_err(|error| {
-        CommandError::new(ErrorKind::Failed, format!("failed to draw random bytes: {error}"))
+        CommandError::new(ErrorKind::Failed, format!("failed to generate random bytes: {error}"))
     })?;
     Ok(bytes.iter().map(|byte| format!("{byte:02x}")).collect())
 }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,19 +1,19 @@
-//! Keys that session tokens are signed with.
+//! Commands for the signing keys of session tokens.
 
 use platform::{PlatformClient, PlatformError};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
 use crate::CommandOutput;
-use crate::change::{RESOLVE_ATTEMPTS, RESOLVE_PAUSE, random_hex};
+use crate::change::{RESOLVE_ATTEMPTS, RESOLVE_INTERVAL, random_hex};
 use crate::error::{CommandError, ErrorKind};
 
 const TOKEN_KEYS_KEY: &str = "cicadawick/token-keys";
 
-/// Keys kept. The one before the last verifies tokens that were signed before a rotation.
-const KEYS_KEPT: usize = 2;
+/// Number of keys kept. The older one verifies tokens that were signed before the last rotation.
+const MAX_KEYS: usize = 2;
 
-/// The stored value; the last key signs.
+/// The stored value. New tokens are signed with the last key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct StoredKeys {
     revision: u64,
@@ -37,7 +37,7 @@
     let id = stored.keys.iter().map(|key| key.id).max().unwrap_or(0).wrapping_add(1);
     let secret = random_hex::<32>()?;
     stored.keys.push(StoredKey { id, secret: secret.clone() });
-    let surplus = stored.keys.len().saturating_sub(KEYS_KEPT);
+    let surplus = stored.keys.len().saturating_sub(MAX_KEYS);
     stored.keys.drain(..surplus);
     stored.revision += 1;
     let bytes = serde_json::to_vec(&stored).map_err(|error| {
@@ -58,14 +58,15 @@
     let Some(value) = platform.get(TOKEN_KEYS_KEY)? else {
         return Ok((StoredKeys::default(), 0));
     };
-    // The parser's message could quote a secret.
+    // The parser's message is omitted because it could quote a secret.
     let keys = serde_json::from_slice(&value.bytes).map_err(|_| {
         CommandError::new(ErrorKind::Failed, format!("failed to read the keys at {TOKEN_KEYS_KEY}"))
     })?;
     Ok((keys, value.modify_index))
 }
 
-/// Writes under compare-and-swap; after a lost answer the new secret tells whether it took effect.
+/// Writes the keys by compare-and-swap. After a lost answer, the new secret shows whether the write took
+/// effect.
 fn write_keys(
     platform: &PlatformClient,
     bytes: &[u8],
@@ -93,12 +94,12 @@
             }
             Ok(_) => {}
             Err(error) if error.kind == ErrorKind::Unreachable => {
-                output.note(format!("failed to read back: {error}"));
+                output.note(format!("failed to check whether the write took effect: {error}"));
             }
             Err(error) => return Err(error),
         }
         if attempt < RESOLVE_ATTEMPTS {
-            std::thread::sleep(RESOLVE_PAUSE);
+            std::thread::sleep(RESOLVE_INTERVAL);
         }
     }
     let message = "outcome unknown: the platform did not answer; the keys may have been rotated";
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,4 +1,4 @@
-//! Commands that ask or stop nodes.
+//! Commands that query or stop nodes.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,18 @@
 use crate::remote::{NodeAnswer, NodeQuery, call};
 use crate::{CommandOutput, change, text};
 
-/// Callers that `top` shows without `--rows`.
+/// Number of callers that `top` shows without `--rows`.
 const DEFAULT_ROWS: usize = 20;
 
-/// Rows asked of each node for every row shown of the whole fleet: a caller may be below the first
-/// rows on each node and yet high in the sum.
-const ROWS_PER_ROW: usize = 4;
+/// Number of rows requested from each node per row shown for the whole fleet. A caller may rank low on
+/// each node and still have one of the highest sums.
+const ROW_OVERSAMPLING: usize = 4;
 
-/// Most rows that a node accepts to be asked for.
+/// Maximum number of rows that can be requested from a node.
 const MAX_ROWS: usize = 2_048;
 
-/// Notes the members that did not answer; the result is an error if there is one.
+/// Writes a note for each member that failed to answer, dead ones excepted. Returns an error if there is
+/// any.
 pub(crate) fn note_failures(
     answers: &[NodeAnswer],
     output: &mut CommandOutput,
@@ -36,11 +37,11 @@
     if failed == 0 {
         return Ok(());
     }
-    let message = format!("the result lacks {failed} of {} members", answers.len());
+    let message = format!("no result from {failed} of {} members", answers.len());
     Err(CommandError::new(ErrorKind::Unreachable, message))
 }
 
-/// `rollout status`: revisions in force, and the slowest node.
+/// `rollout status`: shows the revisions in force on nodes, and the slowest node.
 pub(crate) fn rollout(
     query: &NodeQuery,
     platform: Option<&PlatformClient>,
@@ -51,7 +52,7 @@
     let revision_of = |answer: &NodeAnswer| -> Option<u64> {
         answer.result.as_ref().ok()?.get("revision")?.as_u64()
     };
-    // Nodes can be asked while the platform is away.
+    // The status of the nodes is available even if the platform is unreachable.
     let stored = platform.map(change::read_stored).transpose().unwrap_or_else(|error| {
         output.note(format!("the platform's revision is unknown: {error}"));
         None
@@ -113,11 +114,11 @@
     note_failures(&answers, output)
 }
 
-/// What nodes count for callers, in the order in which `top --measure all` shows it.
+/// Counts that nodes keep for callers, in the order in which `top --measure all` shows them.
 const MEASURES: [&str; 6] =
     ["requests", "slot_time", "refused", "replica_declined", "repeated_keys", "outcome_unknown"];
 
-/// `top`: callers with the highest counts, of one measure or of each.
+/// `top`: shows the callers with the highest counts, for one measure or for each.
 pub(crate) fn top(
     query: &NodeQuery,
     measure: Option<&str>,
@@ -166,20 +167,20 @@
     note_failures(&least_complete, output)
 }
 
-/// Asks for one measure and joins the rows of all nodes.
+/// Requests one measure and merges the rows of all nodes.
 fn top_rows(
     query: &NodeQuery,
     measure: &str,
     shown: usize,
 ) -> Result<(Vec<NodeAnswer>, Vec<CallerRow>), CommandError> {
-    let asked = if query.all { (shown * ROWS_PER_ROW).min(MAX_ROWS) } else { shown };
-    let call_query = [("measure", measure.to_string()), ("rows", asked.to_string())];
+    let requested = if query.all { (shown * ROW_OVERSAMPLING).min(MAX_ROWS) } else { shown };
+    let call_query = [("measure", measure.to_string()), ("rows", requested.to_string())];
     let answers = query.get("/v1/top", &call_query)?;
-    // With a wrong measure every member answers with the same error.
-    let wrong = answers.iter().find_map(|answer| {
+    // To an unknown measure every member answers with the same error.
+    let usage_error = answers.iter().find_map(|answer| {
         answer.result.as_ref().err().filter(|error| error.kind == ErrorKind::Usage)
     });
-    if let Some(error) = wrong {
+    if let Some(error) = usage_error {
         return Err(error.clone());
     }
     let mut parts = Vec::new();
@@ -215,7 +216,7 @@
     text::table(&["CALLER", "RANK", &measure.to_uppercase(), "AT LEAST"], &rows)
 }
 
-/// `explain`: how a node would serve a caller.
+/// `explain`: shows how a node would serve a caller.
 pub(crate) fn explain(
     flags: &Explain,
     json: bool,
@@ -267,7 +268,7 @@
     Ok(())
 }
 
-/// Writes objects with the same keys as rows.
+/// Formats objects as rows, with a column for each key.
 fn property_table(first: &str, objects: &Map<String, Value>) -> String {
     let mut keys: Vec<&String> = Vec::new();
     for object in objects.values().filter_map(Value::as_object) {
@@ -290,7 +291,7 @@
     text::table(&header, &rows)
 }
 
-/// `dump`: the state of nodes as JSON.
+/// `dump`: prints the state of nodes as JSON.
 pub(crate) fn dump(query: &NodeQuery, output: &mut CommandOutput) -> Result<(), CommandError> {
     let answers = query.get("/v1/dump", &[])?;
     if query.all {
@@ -305,7 +306,7 @@
     note_failures(&answers, output)
 }
 
-/// `drain`: begins the graceful shutdown of a node.
+/// `drain`: starts the graceful shutdown of a node.
 pub(crate) fn drain(
     node: SocketAddr,
     json: bool,
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,5 +1,5 @@
-//! Runs the real program against a small HTTP stand-in for the platform and for nodes, and compares
-//! whole output. Guards against changed exit codes, lost changes, and output that scripts rely on.
+//! Runs the program against a fake HTTP server for the platform and the nodes, and compares the whole
+//! output. Guards against lost changes and against changed exit codes or output that scripts rely on.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -16,48 +16,48 @@
 const CONFIG_KEY: &str = "/v1/kv/cicadawick/config";
 const TOKEN_KEYS_KEY: &str = "/v1/kv/cicadawick/token-keys";
 
-/// What happens to the next write.
+/// Fault injected into the next write.
 #[derive(Clone, Default)]
 enum WriteFault {
     #[default]
     None,
-    /// It is applied and not answered.
+    /// The write is applied but not answered.
     LostAnswer,
-    /// It is neither applied nor answered with an outcome.
+    /// The write is not applied, and the answer does not tell the outcome.
     LostRequest,
-    /// Another operator's value is stored just before.
+    /// Another operator's value is stored just before the write.
     Race(Vec<u8>),
-    /// It is applied, then replaced by a successor, and not answered.
+    /// The write is applied and then replaced by another change, and the answer does not tell the outcome.
     Replaced,
 }
 
 #[derive(Default)]
-struct StandInState {
+struct FakeServerState {
     index: u64,
     keys: BTreeMap<String, (Vec<u8>, u64)>,
     fault: WriteFault,
-    /// Answers of a node by method and URL.
+    /// Answers of a fake node by method and URL.
     routes: BTreeMap<String, (u16, String)>,
     writes: usize,
 }
 
-struct StandIn {
+struct FakeServer {
     address: SocketAddr,
-    state: Arc<Mutex<StandInState>>,
+    state: Arc<Mutex<FakeServerState>>,
 }
 
-impl StandIn {
+impl FakeServer {
     fn start() -> Self {
         let server = Server::http("127.0.0.1:0").unwrap();
         let address = server.server_addr().to_ip().unwrap();
-        let state = Arc::new(Mutex::new(StandInState { index: 5, ..Default::default() }));
+        let state = Arc::new(Mutex::new(FakeServerState { index: 5, ..Default::default() }));
         let shared = state.clone();
         std::thread::spawn(move || {
             for request in server.incoming_requests() {
                 answer(request, &mut shared.lock().unwrap());
             }
         });
-        StandIn { address, state }
+        FakeServer { address, state }
     }
 
     fn route(&self, call: &str, value: Value) {
@@ -79,19 +79,19 @@
         self.state.lock().unwrap().fault = fault;
     }
 
-    /// Runs the program with this stand-in as the platform.
+    /// Runs the program with this server as the platform.
     fn run(&self, arguments: &[&str]) -> String {
         let platform = self.address.to_string();
         self.tidy(run_with(Some(&platform), arguments))
     }
 
-    /// Replaces what differs between runs.
+    /// Replaces the server's address, which differs between runs.
     fn tidy(&self, text: String) -> String {
         text.replace(&self.address.to_string(), "STAND-IN")
     }
 }
 
-fn answer(mut request: Request, state: &mut StandInState) {
+fn answer(mut request: Request, state: &mut FakeServerState) {
     let url = request.url().to_string();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let mut body = Vec::new();
@@ -132,7 +132,7 @@
                 drop(request.into_writer());
                 return;
             }
-            // Class 5xx says as little about the outcome as no answer.
+            // Like a missing answer, a status of class 5xx leaves the outcome open.
             WriteFault::LostRequest | WriteFault::Replaced => {
                 Response::from_string("").with_status_code(500)
             }
@@ -165,7 +165,7 @@
         text.push_str(&format!("--- stderr\n{notes}"));
     }
     text.push_str(&format!("--- exit {}\n", output.status.code().unwrap()));
-    // Change ids are random and longer than any other hexadecimal text here.
+    // Change ids are random. No other hexadecimal text in the output has 32 digits.
     let mut tidied = String::new();
     for word in text.split_inclusive(|character: char| !character.is_ascii_hexdigit()) {
         let digits = word.trim_end_matches(|character: char| !character.is_ascii_hexdigit());
@@ -177,7 +177,7 @@
     tidied
 }
 
-/// Writes an input file in a directory of its own and returns its path.
+/// Writes an input file in a separate directory and returns its path.
 fn input_file(test: &str, text: &str) -> String {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&directory).unwrap();
@@ -215,7 +215,7 @@
     })
 }
 
-/// Shows a run with the path of the input file shortened.
+/// Shortens the path of the input file in the output of a run.
 fn tidy_path(text: String, path: &str) -> String {
     text.replace(path, "fleet.jsonc")
 }
@@ -247,7 +247,7 @@
 
 #[test]
 fn changes_are_applied_once() {
-    let platform = StandIn::start();
+    let platform = FakeServer::start();
     let first = input_file("apply-first", &fleet_text(2));
     let second = input_file("apply-second", &fleet_text(3));
     assert_eq!(
@@ -274,24 +274,24 @@
     assert_eq!(rows[0], ["REVISION", "WRITTEN", "AUTHOR", "CHANGE"]);
     assert_eq!((rows[1][0], rows[1][2], rows[1][3]), ("2", "ndapewa", "CHANGE-ID"));
     assert_eq!((rows[2][0], rows[2][2], rows[2][3]), ("1", "nangula", "CHANGE-ID"));
-    // Nodes read the envelope.
+    // Nodes read only the envelope.
     let stored = config_envelope(&platform);
     assert_eq!((stored.revision, stored.text), (2, fleet_text(3)));
     let bad = input_file("apply-bad", "{}");
     assert!(platform.run(&["apply", &bad]).ends_with("--- exit 3\n"));
 }
 
-fn config_envelope(platform: &StandIn) -> config::ChangeEnvelope {
+fn config_envelope(platform: &FakeServer) -> config::ChangeEnvelope {
     let bytes = platform.stored(CONFIG_KEY).to_string().into_bytes();
     config::ChangeEnvelope::from_bytes(&bytes).unwrap()
 }
 
 #[test]
 fn history_keeps_twenty_earlier_changes() {
-    let platform = StandIn::start();
+    let platform = FakeServer::start();
     for slots in 1..=16 {
-        for repeat in 0..2 {
-            let text = fleet_text(slots) + &"\n".repeat(repeat);
+        for blank_lines in 0..2 {
+            let text = fleet_text(slots) + &"\n".repeat(blank_lines);
             let file = input_file("history", &text);
             assert!(platform.run(&["apply", &file]).ends_with("--- exit 0\n"));
         }
@@ -306,10 +306,11 @@
     insta::assert_snapshot!(platform.run(&["history"]));
 }
 
-/// The loser of a race must not overwrite the winner, and learns who won.
+/// Guards against a lost update: when another operator's change is stored first, a change must not
+/// overwrite it, and the error must name its author.
 #[test]
-fn loser_of_a_race_gets_a_conflict() {
-    let platform = StandIn::start();
+fn concurrent_change_gives_a_conflict() {
+    let platform = FakeServer::start();
     platform.store(CONFIG_KEY, &envelope(4, &fleet_text(1)));
     let winner = envelope(5, &fleet_text(9));
     platform.fault(WriteFault::Race(winner.to_string().into_bytes()));
@@ -318,10 +319,10 @@
     assert_eq!(platform.stored(CONFIG_KEY), winner);
 }
 
-/// A lost answer must neither fail an applied change nor apply it twice.
+/// Guards against a lost answer that makes an applied change fail or be applied twice.
 #[test]
-fn lost_answers_are_resolved() {
-    let platform = StandIn::start();
+fn outcome_of_an_unanswered_write_is_resolved() {
+    let platform = FakeServer::start();
     platform.store(CONFIG_KEY, &envelope(4, &fleet_text(1)));
     let file = input_file("lost", &fleet_text(2));
     platform.fault(WriteFault::LostAnswer);
@@ -345,7 +346,7 @@
 
 #[test]
 fn keys_are_rotated() {
-    let platform = StandIn::start();
+    let platform = FakeServer::start();
     for id in 1..=3 {
         let text = platform.run(&["keys", "rotate"]);
         assert!(text.starts_with(&format!("key {id} signs from now on")), "{text}");
@@ -362,9 +363,9 @@
     insta::assert_snapshot!(platform.run(&["keys", "rotate"]));
 }
 
-/// Three nodes, a dead one, and one that does not answer.
-fn nodes() -> (StandIn, StandIn, String) {
-    let (one, two) = (StandIn::start(), StandIn::start());
+/// Two fake nodes and the address of an unreachable node. The first node also lists a dead member.
+fn nodes() -> (FakeServer, FakeServer, String) {
+    let (one, two) = (FakeServer::start(), FakeServer::start());
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let member = |name: &str, address: &str, state: &str| json!({ "name": name, "admin_address": address, "state": state });
     let members = json!([
@@ -391,7 +392,7 @@
 
 /// Runs a command against the first node.
 fn run_nodes(
-    nodes: &(StandIn, StandIn, String),
+    nodes: &(FakeServer, FakeServer, String),
     platform: Option<&str>,
     arguments: &[&str],
 ) -> String {
@@ -404,7 +405,7 @@
 }
 
 #[test]
-fn rollout_names_the_slowest() {
+fn rollout_shows_the_slowest_node() {
     let nodes = nodes();
     nodes.0.store(CONFIG_KEY, &envelope(6, &fleet_text(1)));
     let platform = nodes.0.address.to_string();
@@ -419,7 +420,7 @@
 }
 
 #[test]
-fn top_adds_up() {
+fn top_sums_counts_of_all_nodes() {
     let nodes = nodes();
     let row = |caller: &str, rank: &str, count: u64, error: u64| json!({ "caller": caller, "rank": rank, "count": count, "error": error });
     let one = [row("till", "urgent", 900, 0), row("reports", "batch", 300, 20)];
@@ -437,7 +438,7 @@
     assert_eq!(shown["rows"], serde_json::to_value(merged).unwrap());
 }
 
-// Guards against a measure that `all` leaves out, and against a failed node that it does not tell of.
+// Guards against `--measure all` omitting a measure or not reporting a node that failed.
 #[test]
 fn top_shows_all_measures() {
     let nodes = nodes();
