--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -1,4 +1,4 @@
-//! Rows of the platform's answers, with the field names of its published API.
+//! Rows of the platform's answers. Field names are those of its published API.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -55,14 +55,14 @@
     #[serde(default)]
     address: String,
     port: u16,
-    /// Null if the service has none.
+    /// Null if the service has no metadata.
     #[serde(default)]
     meta: Option<HealthMeta>,
 }
 
 #[derive(Deserialize)]
 struct HealthMeta {
-    /// The platform stores meta values as texts.
+    /// The platform stores metadata values as text.
     #[serde(default)]
     admin_port: String,
 }
@@ -76,9 +76,10 @@
 }
 
 impl HealthRow {
-    /// Returns `None` without a usable address, so one wrong registration does not hide the others.
+    /// Returns `None` if there is no usable address, so that one invalid registration does not hide the
+    /// others.
     pub(crate) fn into_listed(self) -> Option<ListedVm> {
-        // An empty service address means that of the node.
+        // If the service has no address, the address of the node applies.
         let address = match self.service.address.as_str() {
             "" => &self.node.address,
             address => address,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,11 @@
 //! Client of the platform's HTTP key-value service.
 //!
-//! Speaks the published HTTP API of the Consul key-value store: values with a modify index,
-//! compare-and-swap with `?cas=`, and blocking queries with `?index=` and `?wait=`. Calls block, so
-//! the daemon makes them on piped threads and the operators' client directly.
+//! Implements the parts of Consul's published HTTP API that the proxy needs: values with a modify index,
+//! compare-and-swap with `?cas=`, and blocking queries with `?index=` and `?wait=`. All calls block, so
+//! the daemon makes them on separate threads connected by pipes. The operators' program calls directly.
 //!
-//! Every call opens its own connection. Calls are rare, and on a kept connection that the platform
-//! has closed a write could fail without a way to tell whether it was received.
+//! Every call opens a new connection, as calls are rare. On a reused connection that the platform has
+//! closed, a write could fail without showing whether the platform received it.
 
 mod answer;
 
@@ -17,15 +17,15 @@
 
 use crate::answer::{HealthRow, KeyRow};
 
-/// Largest answer that is read, in bytes. A value of 1 MB grows by a third in base64; a list of 2,000
-/// VMs takes about 3 MB.
+/// Maximum size of an answer. A value of 1 MB grows by a third in base64; a list of 2,000 VMs takes about
+/// 3 MB.
 const ANSWER_LIMIT_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A value and its index.
+/// A value and its modify index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredValue {
     pub bytes: Vec<u8>,
-    /// Index for compare-and-swap.
+    /// Modify index, for compare-and-swap.
     pub modify_index: u64,
 }
 
@@ -39,10 +39,10 @@
     pub leaving: bool,
 }
 
-/// A failed call.
+/// Error of a call to the platform.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// The call may have taken effect.
+    /// The outcome is unknown: the call may have taken effect.
     #[error("failed to reach the platform at {address}: {message}")]
     Unreachable { address: SocketAddr, message: String },
     /// The platform answered with an error; the call had no effect.
@@ -52,7 +52,7 @@
     Unreadable { address: SocketAddr, message: String },
 }
 
-/// Client with one address and a timeout for calls that do not wait.
+/// Client of the platform at one address. The timeout applies to a call without its waiting time.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     address: SocketAddr,
@@ -61,7 +61,7 @@
 }
 
 impl PlatformClient {
-    /// Creates a client; no call is made.
+    /// Creates a client without making a call.
     ///
     /// ```
     /// use std::time::Duration;
@@ -93,14 +93,14 @@
     ///
     /// Fails if the platform cannot be reached or answers with an error.
     pub fn get(&self, key: &str) -> Result<Option<StoredValue>, PlatformError> {
-        let (status, _, bytes) = self.read(&key_path(key), "", self.timeout)?;
+        let (status, _, bytes) = self.get_path(&key_path(key), "", self.timeout)?;
         self.stored_value(status, &bytes)
     }
 
-    /// Waits until the key's index differs from `index`, at most `wait`; returns the value and the
-    /// index to wait on next. Index 0 does not wait.
+    /// Waits at most `wait` until the key's index differs from `index`. Returns the value and the index
+    /// for the next call. With index 0 the call does not wait.
     ///
-    /// The next index is 0 if the platform's index went backwards, as after a restore from a backup.
+    /// The returned index is 0 if the platform's index went backwards, as after a restore from a backup.
     ///
     /// # Errors
     ///
@@ -111,34 +111,35 @@
         index: u64,
         wait: Duration,
     ) -> Result<(Option<StoredValue>, u64), PlatformError> {
-        let (status, next, bytes) = self.wait_for(&key_path(key), index, wait)?;
+        let (status, next, bytes) = self.blocking_query(&key_path(key), index, wait)?;
         Ok((self.stored_value(status, &bytes)?, next))
     }
 
-    /// Writes a key if its index is `expected` (0: does not exist); returns whether it did.
+    /// Writes a key if its modify index is `expected` (0: the key does not exist). Returns whether the key
+    /// was written.
     ///
     /// # Errors
     ///
     /// Fails if the platform cannot be reached or answers with an error. After
-    /// [`PlatformError::Unreachable`] the write may have taken effect. This includes answers of class
-    /// 5xx, which the platform also sends when it loses its leader in the middle of a write.
+    /// [`PlatformError::Unreachable`] the write may have taken effect. Status codes of class 5xx also give
+    /// this error, because the platform sends them when it loses its leader during a write.
     pub fn put(&self, key: &str, bytes: &[u8], expected: u64) -> Result<bool, PlatformError> {
         let url = format!("http://{}{}?cas={expected}", self.address, key_path(key));
         let request = self.agent.put(url).config().timeout_global(Some(self.timeout)).build();
         let response = request.send(bytes).map_err(|error| self.unreachable(&error.to_string()))?;
-        let (status, _, body) = self.receive(response)?;
+        let (status, _, body) = self.read_response(response)?;
         match (status, body.trim_ascii()) {
             (200, b"true") => Ok(true),
             (200, b"false") => Ok(false),
             (200, _) => Err(self.unreachable("the answer to a write is neither true nor false")),
-            (500.., _) => Err(self.unreachable(&format!("status {status} to a write"))),
+            (500.., _) => Err(self.unreachable(&format!("status {status} in response to a write"))),
             _ => Err(PlatformError::Refused { address: self.address, status }),
         }
     }
 
-    /// Waits for a change of the list of VMs; see [`PlatformClient::watch`].
+    /// Waits for a change of the list of VMs and returns the list; see [`PlatformClient::watch`].
     ///
-    /// A VM is leaving if it is in maintenance mode. Rows without a usable address are left out.
+    /// A VM is leaving if it is in maintenance mode. Rows without a usable address are omitted.
     ///
     /// # Errors
     ///
@@ -148,7 +149,8 @@
         index: u64,
         wait: Duration,
     ) -> Result<(Vec<ListedVm>, u64), PlatformError> {
-        let (status, next, bytes) = self.wait_for("/v1/health/service/cicadawick", index, wait)?;
+        let (status, next, bytes) =
+            self.blocking_query("/v1/health/service/cicadawick", index, wait)?;
         if status != 200 {
             return Err(PlatformError::Refused { address: self.address, status });
         }
@@ -156,7 +158,7 @@
         Ok((rows.into_iter().filter_map(HealthRow::into_listed).collect(), next))
     }
 
-    fn wait_for(
+    fn blocking_query(
         &self,
         path: &str,
         index: u64,
@@ -167,21 +169,21 @@
             (_, 0) => format!("?index={index}&wait={}s", wait.as_secs()),
             _ => format!("?index={index}&wait={}ms", wait.as_millis()),
         };
-        // The platform adds up to a sixteenth of the wait, so that waits do not end all at once.
+        // The platform extends a wait by up to a sixteenth, so that not all waits end at the same time.
         let timeout = self.timeout + wait + wait / 16;
-        let (status, answered, bytes) = self.read(path, &query, timeout)?;
-        let Some(answered) = answered else {
+        let (status, current_index, bytes) = self.get_path(path, &query, timeout)?;
+        let Some(current_index) = current_index else {
             if status != 200 && status != 404 {
                 return Err(PlatformError::Refused { address: self.address, status });
             }
             return Err(self.unreadable("no valid X-Consul-Index header"));
         };
-        // An index of 0 would not wait and turn the watch into a busy loop.
-        let next = if answered < index { 0 } else { answered.max(1) };
+        // The next call would not wait with index 0, which would turn the watch into a busy loop.
+        let next = if current_index < index { 0 } else { current_index.max(1) };
         Ok((status, next, bytes))
     }
 
-    fn read(
+    fn get_path(
         &self,
         path: &str,
         query: &str,
@@ -189,11 +191,11 @@
     ) -> Result<(u16, Option<u64>, Vec<u8>), PlatformError> {
         let url = format!("http://{}{path}{query}", self.address);
         let request = self.agent.get(url).config().timeout_global(Some(timeout)).build();
-        self.receive(request.call().map_err(|error| self.unreachable(&error.to_string()))?)
+        self.read_response(request.call().map_err(|error| self.unreachable(&error.to_string()))?)
     }
 
-    /// Reads status, index header and body.
-    fn receive(
+    /// Reads the status, index header and body of a response.
+    fn read_response(
         &self,
         mut response: Response<ureq::Body>,
     ) -> Result<(u16, Option<u64>, Vec<u8>), PlatformError> {
@@ -232,7 +234,7 @@
     }
 }
 
-/// Returns the path of a key. Bytes with a meaning in a URL are escaped, except `/`.
+/// Returns the URL path of a key. All bytes except `/` and unreserved characters are percent-encoded.
 fn key_path(key: &str) -> String {
     let mut path = "/v1/kv/".to_string();
     for byte in key.bytes() {
