--- a/crates/platform/tests/client.rs
+++ b/crates/platform/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client against a small HTTP server that follows the platform's published API.
+//! Tests of the client against a small HTTP server that implements the platform's published API.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -13,11 +13,11 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How the server treats the next write.
+/// Fault injected into the next write.
 #[derive(Clone, Copy, PartialEq)]
 enum WriteFault {
     None,
-    /// Applies the write and sends no answer.
+    /// The write is applied but not answered.
     LostAnswer,
     Status(u16),
 }
@@ -123,7 +123,7 @@
     let _ = request.respond(response.with_header(header));
 }
 
-/// Guards against a write that overwrites another one.
+/// Guards against a write that overwrites a concurrent one.
 #[test]
 fn compare_and_swap() {
     let server = KeyServer::start();
@@ -138,7 +138,7 @@
     assert_eq!(client.get("cicadawick/config").unwrap().unwrap().bytes.len(), 1_000_000);
 }
 
-/// Guards against a watch that polls, misses a change or never ends.
+/// Guards against a watch that returns early, misses a change or never ends.
 #[test]
 fn blocking_query_wakes_up() {
     let server = KeyServer::start();
@@ -161,7 +161,8 @@
     assert_eq!((value.unwrap().bytes.as_slice(), index), (&b"v"[..], 11));
 }
 
-/// Guards against a lost answer that is taken for a refusal: the write did take effect.
+/// Guards against a lost answer or a status of class 5xx being reported as a refusal, although the write
+/// may have taken effect.
 #[test]
 fn lost_answer_is_unreachable() {
     let server = KeyServer::start();
@@ -190,9 +191,9 @@
     assert!(matches!(client.get("k"), Err(PlatformError::Unreachable { .. })));
 }
 
-/// Guards against a watch that waits for ever on an index from before a restore.
+/// Guards against a watch that waits forever on an index from before a restore.
 #[test]
-fn index_that_goes_backwards_resets() {
+fn index_is_reset_when_it_goes_backwards() {
     let server = KeyServer::start();
     let client = server.client();
     let (_, index) = client.watch("k", 0, TIMEOUT).unwrap();
@@ -237,7 +238,7 @@
 }
 
 #[test]
-fn unreadable_answers_are_told_apart() {
+fn malformed_answer_is_unreadable() {
     let server = KeyServer::start();
     server.change(|keys| keys.vms = "{".to_string());
     let error = server.client().watch_vms(0, TIMEOUT).unwrap_err();
--- a/crates/platform/tests/stand_in.rs
+++ b/crates/platform/tests/fake_platform.rs
@@ -1,5 +1,6 @@
-//! The client against the project's stand-in of the platform, which models outages, lost answers and
-//! a list of VMs that lags. Guards against two readings of the published protocol.
+//! Tests of the client against the project's fake platform, which models outages, lost answers and a
+//! list of VMs that lags. Guards against the client and the fake interpreting the published API
+//! differently.
 #![allow(clippy::unwrap_used)]
 
 use std::time::{Duration, Instant};
@@ -7,15 +8,15 @@
 use fake::fakeplatform::{FakePlatform, FakeVm, OutageMode};
 use platform::{PlatformClient, PlatformError};
 
-fn start() -> (FakePlatform, PlatformClient) {
+fn start_platform() -> (FakePlatform, PlatformClient) {
     let platform = FakePlatform::start(0).unwrap();
     let client = PlatformClient::new(platform.address(), Duration::from_secs(2));
     (platform, client)
 }
 
 #[test]
-fn compare_and_swap_and_lost_answer() {
-    let (platform, client) = start();
+fn compare_and_swap_with_a_lost_answer() {
+    let (platform, client) = start_platform();
     assert_eq!(client.get("cicadawick/config").unwrap(), None);
     assert!(client.put("cicadawick/config", b"one", 0).unwrap());
     assert!(!client.put("cicadawick/config", b"two", 0).unwrap());
@@ -33,7 +34,7 @@
 
 #[test]
 fn watches_wake_up() {
-    let (platform, client) = start();
+    let (platform, client) = start_platform();
     let (value, index) = client.watch("k", 0, Duration::from_secs(5)).unwrap();
     assert_eq!(value, None);
     let waiting = std::thread::spawn({
