--- a/crates/schema/examples/generate.rs
+++ b/crates/schema/examples/generate.rs
@@ -1,7 +1,7 @@
 //! Regenerates the committed code of all schema files: `cargo run -p schema --example generate`.
 //!
-//! Needs the `capnp` program. Also records the SHA-256 of each schema file, by which a test finds
-//! committed code that is stale.
+//! Needs the `capnp` program. Also records the SHA-256 of each schema file, which a test compares to
+//! detect outdated committed code.
 
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,7 +1,7 @@
-//! Cap'n Proto schema of settings, configuration and peer messages, with the committed generated code.
+//! Cap'n Proto schemas of settings, configuration and peer messages, with the generated code.
 //!
-//! The files in `schema/` are the source. After a change of one, `cargo run -p schema --example
-//! generate` writes the code; a build needs no generator.
+//! The code is generated from the files in `schema/` and committed, so a build does not need the `capnp`
+//! program. After a change of a schema file, run `cargo run -p schema --example generate`.
 
 #[rustfmt::skip]
 #[allow(clippy::all, clippy::unwrap_used, unsafe_code)]
