--- a/crates/pg/src/extended.rs
+++ b/crates/pg/src/extended.rs
@@ -237,11 +237,11 @@
     }
 
     fn get(&self, name: &str) -> Option<&Arc<StatementText>> {
-        self.statements.iter().find(|(held, _)| &**held == name).map(|(_, text)| text)
+        self.statements.iter().find(|(known, _)| &**known == name).map(|(_, text)| text)
     }
 
     fn remove(&mut self, name: &str) {
-        if let Some(at) = self.statements.iter().position(|(held, _)| &**held == name) {
+        if let Some(at) = self.statements.iter().position(|(known, _)| &**known == name) {
             let (name, text) = self.statements.swap_remove(at);
             self.bytes -= text.bytes(&name);
             if self.statements.is_empty() {
@@ -348,7 +348,7 @@
     }
 
     fn lookup(&self, name: &str) -> Option<Arc<StatementText>> {
-        match self.overlay.iter().rev().find(|(held, _)| &**held == name) {
+        match self.overlay.iter().rev().find(|(known, _)| &**known == name) {
             Some((_, text)) => text.clone(),
             None => self.table.get(name).cloned(),
         }
@@ -523,10 +523,10 @@
         sent: &mut BytesMut,
         name: &str,
         query: &str,
-        closed: Option<String>,
+        closed_name: Option<String>,
         added: &mut usize,
     ) -> bool {
-        let is_client_parse = closed.as_deref() == Some(name);
+        let is_client_parse = closed_name.as_deref() == Some(name);
         if !name.starts_with(STATEMENT_PREFIX) {
             let provokes_error = !name.is_empty()
                 && query.is_empty()
@@ -540,7 +540,7 @@
         }
         if !is_client_parse {
             let request_number = self.request_number;
-            if let Some((_, last_use)) = self.prepared.iter_mut().find(|(held, _)| held == name) {
+            if let Some((_, last_use)) = self.prepared.iter_mut().find(|(known, _)| known == name) {
                 *last_use = request_number;
                 return false;
             }
@@ -570,6 +570,6 @@
     }
 
     fn remove(&mut self, name: &str) {
-        self.prepared.retain(|(held, _)| held != name);
+        self.prepared.retain(|(known, _)| known != name);
     }
 }
--- a/crates/pg/tests/frames.rs
+++ b/crates/pg/tests/frames.rs
@@ -52,9 +52,9 @@
         cuts in prop::collection::vec(any::<usize>(), 0..20),
         limit in 5usize..64,
     ) {
-        let whole = split_chunks(&[&stream], limit);
+        let unchunked = split_chunks(&[&stream], limit);
         let chunked = split_chunks(&cut_at(&stream, cuts), limit);
-        prop_assert_eq!(whole, chunked);
+        prop_assert_eq!(unchunked, chunked);
     }
 
     #[test]
--- a/crates/pg/tests/statements.rs
+++ b/crates/pg/tests/statements.rs
@@ -61,8 +61,8 @@
             let answer = match frame.kind {
                 kind::PARSE => {
                     let body = pg::read_parse(frame.body()).unwrap();
-                    let held = self.names.iter().any(|(name, _)| name == body.name);
-                    if held && !body.name.is_empty() {
+                    let known = self.names.iter().any(|(name, _)| name == body.name);
+                    if known && !body.name.is_empty() {
                         kind::ERROR
                     } else {
                         self.names.retain(|(name, _)| name != body.name);
@@ -77,7 +77,7 @@
                 }
                 kind::CLOSE => {
                     let (_, name) = pg::read_target(frame.body()).unwrap();
-                    self.names.retain(|(held, _)| held != name);
+                    self.names.retain(|(known, _)| known != name);
                     kind::CLOSE_COMPLETE
                 }
                 kind::EXECUTE => {
