--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use config::{ChangeEnvelope, ExampleFile, SettingsError, diff_lines, render_example};
+use config::{ChangeEnvelope, ConfigError, ExampleFile, diff_lines, render_example};
 use platform::{PlatformClient, PlatformError};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -85,7 +85,7 @@
     })
 }
 
-fn report_errors(errors: &[SettingsError], json: bool, output: &mut CommandOutput) -> CommandError {
+fn report_errors(errors: &[ConfigError], json: bool, output: &mut CommandOutput) -> CommandError {
     if json {
         let rows = errors.iter().map(|error| {
             json!({
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -32,8 +32,8 @@
     /// Stores a document if its revision is higher than the one held.
     pub fn offer(&mut self, document: &Name, revision: u64, bytes: &[u8]) -> DocumentOffer {
         match self.documents.get(document) {
-            Some((held, _)) if *held == revision => DocumentOffer::Same,
-            Some((held, _)) if *held > revision => DocumentOffer::Older,
+            Some((current, _)) if *current == revision => DocumentOffer::Same,
+            Some((current, _)) if *current > revision => DocumentOffer::Older,
             _ => {
                 self.documents.insert(document.clone(), (revision, bytes.into()));
                 DocumentOffer::Newer
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -8,7 +8,7 @@
 };
 use schema::fleet_capnp::{RankName, fleet_config, label, rank_share};
 
-use crate::SettingsError;
+use crate::ConfigError;
 use crate::parser::SchemaParser;
 
 /// Maximum sum of the minimum shares of all ranks, in percent. The rest of the slot time stays available
@@ -26,11 +26,7 @@
 /// let config = config::parse_fleet("fleet.jsonc", &text, 7).unwrap();
 /// assert_eq!((config.revision, config.clusters.len()), (7, 1));
 /// ```
-pub fn parse_fleet(
-    file: &str,
-    text: &str,
-    revision: u64,
-) -> Result<FleetConfig, Vec<SettingsError>> {
+pub fn parse_fleet(file: &str, text: &str, revision: u64) -> Result<FleetConfig, Vec<ConfigError>> {
     let mut message = capnp::message::Builder::new_default();
     let mut root = message.init_root::<fleet_config::Builder<'_>>();
     let mut parser = SchemaParser::new(file, text);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -23,7 +23,7 @@
 /// One error in a settings or configuration text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {key}: {message}")]
-pub struct SettingsError {
+pub struct ConfigError {
     pub file: String,
     /// Line number, from 1.
     pub line: usize,
@@ -35,8 +35,8 @@
 }
 
 /// Converts an error of the schema's generated code, which only a bug in this crate can cause.
-fn schema_error(file: &str, error: &capnp::Error) -> SettingsError {
-    SettingsError {
+fn schema_error(file: &str, error: &capnp::Error) -> ConfigError {
+    ConfigError {
         file: file.to_string(),
         line: 1,
         column: 1,
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -6,7 +6,7 @@
 use model::{Micros, NodeSettings};
 use schema::settings_capnp::{LogLevel, node_settings};
 
-use crate::SettingsError;
+use crate::ConfigError;
 use crate::parser::SchemaParser;
 
 /// Parses and validates a settings text.
@@ -22,7 +22,7 @@
 ///     Some("settings.jsonc:1:3: nmae: unknown key, did you mean \"name\"?"),
 /// );
 /// ```
-pub fn parse_settings(file: &str, text: &str) -> Result<NodeSettings, Vec<SettingsError>> {
+pub fn parse_settings(file: &str, text: &str) -> Result<NodeSettings, Vec<ConfigError>> {
     let mut message = capnp::message::Builder::new_default();
     let mut root = message.init_root::<node_settings::Builder<'_>>();
     let mut parser = SchemaParser::new(file, text);
--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -16,7 +16,7 @@
 use model::{FastMap, LabelSelector, LabelSet};
 use schema::annotations_capnp::FieldKind;
 
-use crate::SettingsError;
+use crate::ConfigError;
 use crate::key::{KeySpec, closest_match, json_string};
 
 /// Key shown in errors about the whole text.
@@ -43,7 +43,7 @@
     text: &'a str,
     /// Byte offset of the start of each line.
     line_starts: Vec<usize>,
-    errors: Vec<(usize, SettingsError)>,
+    errors: Vec<(usize, ConfigError)>,
     /// Byte offset of each accepted value, by key path.
     offsets: FastMap<String, usize>,
 }
@@ -100,7 +100,7 @@
     }
 
     /// Returns all errors in the order of the text.
-    pub(crate) fn finish(mut self) -> Result<(), Vec<SettingsError>> {
+    pub(crate) fn finish(mut self) -> Result<(), Vec<ConfigError>> {
         if self.errors.is_empty() {
             return Ok(());
         }
@@ -111,7 +111,7 @@
     fn error(&mut self, offset: usize, key: &str, message: String) {
         let (line, column) = self.position(offset);
         let key = if key.is_empty() { DOCUMENT_KEY } else { key }.to_string();
-        let error = SettingsError { file: self.file.to_string(), line, column, key, message };
+        let error = ConfigError { file: self.file.to_string(), line, column, key, message };
         self.errors.push((offset, error));
     }
 
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,9 +1,9 @@
 //! Errors of invalid files. Guards against errors that lack the position, the key or the accepted range,
 //! and against validation checks that are lost.
 
-use config::{ExampleFile, SettingsError, parse_fleet, parse_settings, render_example};
+use config::{ConfigError, ExampleFile, parse_fleet, parse_settings, render_example};
 
-fn format_errors<T>(result: Result<T, Vec<SettingsError>>) -> String {
+fn format_errors<T>(result: Result<T, Vec<ConfigError>>) -> String {
     match result {
         Ok(_) => "accepted\n".to_string(),
         Err(errors) => errors.iter().map(|error| format!("{error}\n")).collect(),
