--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -8,7 +8,7 @@
 
 use crate::error::{CommandError, ErrorKind};
 use crate::flags::Explain;
-use crate::remote::{NodeAnswer, NodeQuery, call};
+use crate::remote::{NodeAnswer, NodeQuery, call_node};
 use crate::{CommandOutput, change, text};
 
 /// Number of callers that `top` shows without `--rows`.
@@ -232,7 +232,7 @@
     for (key, value) in others {
         query.extend(value.clone().map(|value| (key, value)));
     }
-    let answer = call(flags.node, "GET", "/v1/explain", &query)?;
+    let answer = call_node(flags.node, "GET", "/v1/explain", &query)?;
     if json {
         output.json(&answer);
         return Ok(());
@@ -312,7 +312,7 @@
     json: bool,
     output: &mut CommandOutput,
 ) -> Result<(), CommandError> {
-    let answer = call(node, "POST", "/v1/drain", &[])?;
+    let answer = call_node(node, "POST", "/v1/drain", &[])?;
     match json {
         true => output.json(&answer),
         false => output.line(format!("the node at {node} is shutting down gracefully")),
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -58,12 +58,12 @@
         query: &[(&str, String)],
     ) -> Result<Vec<NodeAnswer>, CommandError> {
         if !self.all {
-            let value = call(self.node, "GET", path, query)?;
+            let value = call_node(self.node, "GET", path, query)?;
             let name = value.get("node").and_then(Value::as_str);
             let name = name.map_or_else(|| self.node.to_string(), str::to_string);
             return Ok(vec![NodeAnswer { name, state: None, result: Ok(value) }]);
         }
-        let dump = call(self.node, "GET", "/v1/dump", &[])?;
+        let dump = call_node(self.node, "GET", "/v1/dump", &[])?;
         let members = listed_members(&dump).ok_or_else(|| {
             let message = format!("the node at {} lists no members in its dump", self.node);
             CommandError::new(ErrorKind::Failed, message)
@@ -77,7 +77,7 @@
                 };
                 let result = match (member.state.as_str(), member.address) {
                     ("dead", _) => Err(CommandError::new(ErrorKind::Failed, "the member is dead")),
-                    (_, Some(address)) => call(address, "GET", path, query),
+                    (_, Some(address)) => call_node(address, "GET", path, query),
                     (_, None) => {
                         Err(CommandError::new(ErrorKind::Failed, "no admin address is listed"))
                     }
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// Fails if the node cannot be reached, or with the error that the node answers.
-pub(crate) fn call(
+pub(crate) fn call_node(
     address: SocketAddr,
     method: &str,
     path: &str,
