--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -54,7 +54,7 @@
         let shared = state.clone();
         std::thread::spawn(move || {
             for request in server.incoming_requests() {
-                answer(request, &mut shared.lock().unwrap());
+                handle_request(request, &mut shared.lock().unwrap());
             }
         });
         FakeServer { address, state }
@@ -91,7 +91,7 @@
     }
 }
 
-fn answer(mut request: Request, state: &mut FakeServerState) {
+fn handle_request(mut request: Request, state: &mut FakeServerState) {
     let url = request.url().to_string();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let mut body = Vec::new();
@@ -110,8 +110,9 @@
             state.index += 1;
             state.keys.insert(path.to_string(), (other.clone(), state.index));
         }
-        let held = state.keys.get(path).map_or(0, |(_, index)| *index);
-        let accepted = query == format!("cas={held}") && !matches!(fault, WriteFault::LostRequest);
+        let stored_index = state.keys.get(path).map_or(0, |(_, index)| *index);
+        let accepted =
+            query == format!("cas={stored_index}") && !matches!(fault, WriteFault::LostRequest);
         if accepted {
             state.index += 1;
             if let WriteFault::Replaced = fault {
--- a/crates/platform/tests/client.rs
+++ b/crates/platform/tests/client.rs
@@ -49,7 +49,7 @@
         std::thread::spawn(move || {
             for request in server.incoming_requests() {
                 let state = shared.clone();
-                std::thread::spawn(move || answer(request, &state));
+                std::thread::spawn(move || handle_request(request, &state));
             }
         });
         KeyServer { address, state }
@@ -65,7 +65,7 @@
     }
 }
 
-fn answer(mut request: Request, state: &(Mutex<KeyState>, Condvar)) {
+fn handle_request(mut request: Request, state: &(Mutex<KeyState>, Condvar)) {
     let url = request.url().to_string();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let number = |name: &str| -> Option<u64> {
@@ -76,8 +76,8 @@
     request.as_reader().read_to_end(&mut body).unwrap();
     let mut keys = state.0.lock().unwrap();
     if *request.method() == Method::Put {
-        let held = keys.keys.get(path).map_or(0, |(_, index)| *index);
-        let accepted = number("cas") == Some(held);
+        let stored_index = keys.keys.get(path).map_or(0, |(_, index)| *index);
+        let accepted = number("cas") == Some(stored_index);
         let fault = std::mem::replace(&mut keys.fault, WriteFault::None);
         if accepted && !matches!(fault, WriteFault::Status(_)) {
             keys.index += 1;
