--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -11,4 +11,6 @@
 
 pub use budget::RetryBudget;
 pub use pool::{ConnectionId, ConnectionPool, PoolAction, PoolConfig, PoolStats};
-pub use queue::{QueueConfig, QueueStats, RefusalReason, SlotGrant, SlotQueue, WorkId, WorkTicket};
+pub use queue::{
+    QueueConfig, QueueStats, RefusalReason, RequestId, SlotGrant, SlotQueue, SlotRequest,
+};
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -62,7 +62,7 @@
 
 /// Identifies one request at the owner of the database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WorkId(pub u64);
+pub struct RequestId(pub u64);
 
 /// Limits of one queue.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,8 +74,8 @@
 
 /// A request that asks for a slot.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkTicket {
-    pub work: WorkId,
+pub struct SlotRequest {
+    pub request: RequestId,
     pub rank: Rank,
     /// The caller that the slot time is charged to.
     pub caller: Name,
@@ -101,7 +101,7 @@
 /// A slot that was granted; returned with [`SlotQueue::finish`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotGrant {
-    pub work: WorkId,
+    pub request: RequestId,
     pub rank: Rank,
     /// Time between [`SlotQueue::enqueue`] and the grant.
     pub waited: Micros,
@@ -216,7 +216,7 @@
     used: u64,
     /// Order among callers with the same slot time.
     activated: u64,
-    sub_queues: [BTreeMap<u64, WorkId>; 4],
+    sub_queues: [BTreeMap<u64, RequestId>; 4],
     /// Sum of the charges of waiting requests.
     backlog: u64,
     running: u32,
@@ -314,7 +314,7 @@
         }
     }
 
-    fn insert_request(&mut self, request: WorkId, waiting: &WaitingRequest) {
+    fn insert_request(&mut self, request: RequestId, waiting: &WaitingRequest) {
         let (least, most) = (self.virtual_time + self.mean, self.virtual_time + 2 * self.mean);
         let state = self.caller(waiting.caller);
         let idle = !state.is_waiting();
@@ -461,33 +461,33 @@
 /// let rank = RankConfig { floor_percent: 10, queue_limit: 100 };
 /// let mut queue = SlotQueue::new(QueueConfig { slots: 1, ranks: RankMap([rank; 3]) });
 /// for (request, rank) in [(1, Rank::Batch), (2, Rank::Urgent)] {
-///     let ticket = WorkTicket {
-///         work: WorkId(request),
+///     let slot_request = SlotRequest {
+///         request: RequestId(request),
 ///         rank,
 ///         caller: "till-7".into(),
 ///         deadline: Micros::from_secs(1),
 ///         selector: "all".into(),
 ///         in_transaction: false,
 ///     };
-///     queue.enqueue(Micros(0), ticket).unwrap();
+///     queue.enqueue(Micros(0), slot_request).unwrap();
 /// }
-/// assert_eq!(queue.grant(Micros(0)).unwrap().work, WorkId(2));
+/// assert_eq!(queue.grant(Micros(0)).unwrap().request, RequestId(2));
 /// assert_eq!(queue.grant(Micros(0)), None);
-/// queue.finish(Micros(3_000), WorkId(2));
-/// assert_eq!(queue.grant(Micros(3_000)).unwrap().work, WorkId(1));
+/// queue.finish(Micros(3_000), RequestId(2));
+/// assert_eq!(queue.grant(Micros(3_000)).unwrap().request, RequestId(1));
 /// ```
 #[derive(Debug)]
 pub struct SlotQueue {
     config: QueueConfig,
     ranks: RankMap<RankQueue>,
-    waiting: FastMap<WorkId, WaitingRequest>,
-    running: FastMap<WorkId, RunningRequest>,
+    waiting: FastMap<RequestId, WaitingRequest>,
+    running: FastMap<RequestId, RunningRequest>,
     /// Running statements that count against the limit for long ones.
     running_long: u32,
     /// Waiting requests by the last moment at which they can start.
-    expiries: BTreeSet<(Micros, WorkId)>,
+    expiries: BTreeSet<(Micros, RequestId)>,
     /// Refused requests that [`SlotQueue::expire`] has yet to return.
-    refused: Vec<(WorkId, RefusalReason)>,
+    refused: Vec<(RequestId, RefusalReason)>,
     estimates: FastMap<Name, ServiceEstimate>,
     sequence: u64,
     accounted_at: Micros,
@@ -524,14 +524,14 @@
     ///
     /// Refuses at once when the queue is full or the deadline cannot be met. A request of an open
     /// transaction is not refused for a full queue.
-    pub fn enqueue(&mut self, now: Micros, ticket: WorkTicket) -> Result<(), RefusalReason> {
+    pub fn enqueue(&mut self, now: Micros, slot_request: SlotRequest) -> Result<(), RefusalReason> {
         self.update_accounts(now);
-        let rank = ticket.rank;
-        let estimate = self.estimate(&ticket.selector);
+        let rank = slot_request.rank;
+        let estimate = self.estimate(&slot_request.selector);
         let service = estimate.with_margin();
-        let left = ticket.deadline.saturating_sub(now);
+        let left = slot_request.deadline.saturating_sub(now);
         let queue = &self.ranks[rank];
-        let own = match queue.index.get(&ticket.caller) {
+        let own = match queue.index.get(&slot_request.caller) {
             Some(index) => queue.callers[*index].as_ref().map_or(0, |state| state.backlog),
             None => 0,
         };
@@ -539,13 +539,16 @@
         // of its own.
         let turns = u64::from(queue.waiting_callers) + 1;
         let ahead = queue.backlog.min(own.saturating_add(estimate.mean).saturating_mul(turns));
-        let wait =
-            if ticket.in_transaction { Micros::ZERO } else { self.wait_behind(now, rank, ahead) };
+        let wait = if slot_request.in_transaction {
+            Micros::ZERO
+        } else {
+            self.wait_behind(now, rank, ahead)
+        };
         let expected = wait + service;
         if expected + Micros(wait.0 / 3) > left {
             if service > left
                 && left > Micros::ZERO
-                && let Some(estimate) = self.estimates.get_mut(&ticket.selector)
+                && let Some(estimate) = self.estimates.get_mut(&slot_request.selector)
             {
                 estimate.decay();
             }
@@ -557,29 +560,29 @@
             });
         }
         let limit = self.config.ranks[rank].queue_limit;
-        if !ticket.in_transaction && self.ranks[rank].waiting_new >= limit {
-            self.make_room(rank, &ticket.caller, limit)?;
+        if !slot_request.in_transaction && self.ranks[rank].waiting_new >= limit {
+            self.make_room(rank, &slot_request.caller, limit)?;
         }
         self.sequence += 1;
         let long = rank != Rank::Urgent && Micros(estimate.mean) > LONG_STATEMENT_TIME;
         let waiting = WaitingRequest {
             rank,
-            caller: self.ranks[rank].find_or_add_caller(&ticket.caller),
-            selector: ticket.selector,
+            caller: self.ranks[rank].find_or_add_caller(&slot_request.caller),
+            selector: slot_request.selector,
             sequence: self.sequence,
-            sub_queue: SubQueue::of(ticket.in_transaction, long),
+            sub_queue: SubQueue::of(slot_request.in_transaction, long),
             arrived: now,
             charged: estimate.mean,
-            start_by: ticket.deadline.saturating_sub(service),
+            start_by: slot_request.deadline.saturating_sub(service),
         };
-        self.ranks[rank].insert_request(ticket.work, &waiting);
-        self.expiries.insert((waiting.start_by, ticket.work));
-        self.waiting.insert(ticket.work, waiting);
+        self.ranks[rank].insert_request(slot_request.request, &waiting);
+        self.expiries.insert((waiting.start_by, slot_request.request));
+        self.waiting.insert(slot_request.request, waiting);
         Ok(())
     }
 
     /// Removes a request that still waits; returns whether it did.
-    pub fn cancel(&mut self, request: WorkId) -> bool {
+    pub fn cancel(&mut self, request: RequestId) -> bool {
         match self.remove_waiting(request) {
             Some(waiting) => {
                 self.ranks[waiting.rank].evict_idle();
@@ -634,17 +637,13 @@
                 long,
             };
             self.running.insert(request, running);
-            return Some(SlotGrant {
-                work: request,
-                rank,
-                waited: now.saturating_sub(waiting.arrived),
-            });
+            return Some(SlotGrant { request, rank, waited: now.saturating_sub(waiting.arrived) });
         }
         None
     }
 
     /// Returns a slot. Does nothing for a request that holds none.
-    pub fn finish(&mut self, now: Micros, request: WorkId) {
+    pub fn finish(&mut self, now: Micros, request: RequestId) {
         let Some((running, time)) = self.release(now, request) else { return };
         let queue = &mut self.ranks[running.rank];
         queue.mean = queue.mean - queue.mean / 16 + time / 16;
@@ -661,30 +660,30 @@
     /// does not change the estimate for others.
     ///
     /// ```
-    /// use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
+    /// use admit::{QueueConfig, SlotQueue, RequestId, SlotRequest};
     /// use model::{Micros, Rank, RankConfig, RankMap};
     ///
     /// let ranks = RankMap([RankConfig { floor_percent: 0, queue_limit: 8 }; 3]);
     /// let mut queue = SlotQueue::new(QueueConfig { slots: 1, ranks });
-    /// let ticket = |request| WorkTicket {
-    ///     work: WorkId(request),
+    /// let slot_request = |request| SlotRequest {
+    ///     request: RequestId(request),
     ///     rank: Rank::Urgent,
     ///     caller: "caller".into(),
     ///     deadline: Micros::from_secs(9),
     ///     selector: "sales".into(),
     ///     in_transaction: false,
     /// };
-    /// queue.enqueue(Micros(0), ticket(1)).expect("there is room");
+    /// queue.enqueue(Micros(0), slot_request(1)).expect("there is room");
     /// queue.grant(Micros(0)).expect("a slot is free");
     /// let before = queue.service_time("sales");
-    /// queue.abandon(Micros::from_secs(1), WorkId(1));
+    /// queue.abandon(Micros::from_secs(1), RequestId(1));
     /// assert_eq!(queue.service_time("sales"), before);
     /// ```
-    pub fn abandon(&mut self, now: Micros, request: WorkId) {
+    pub fn abandon(&mut self, now: Micros, request: RequestId) {
         self.release(now, request);
     }
 
-    fn release(&mut self, now: Micros, request: WorkId) -> Option<(RunningRequest, u64)> {
+    fn release(&mut self, now: Micros, request: RequestId) -> Option<(RunningRequest, u64)> {
         self.update_accounts(now);
         let running = self.running.remove(&request)?;
         let time = now.saturating_sub(running.started).0;
@@ -701,7 +700,7 @@
 
     /// Removes the requests whose deadline can no longer be met, and returns them together with those
     /// refused to make room for others.
-    pub fn expire(&mut self, now: Micros) -> Vec<(WorkId, RefusalReason)> {
+    pub fn expire(&mut self, now: Micros) -> Vec<(RequestId, RefusalReason)> {
         while let Some(&(start_by, request)) = self.expiries.first() {
             if start_by >= now {
                 break;
@@ -858,12 +857,12 @@
         Ok(())
     }
 
-    fn refuse(&mut self, request: WorkId, rank: Rank, reason: RefusalReason) {
+    fn refuse(&mut self, request: RequestId, rank: Rank, reason: RefusalReason) {
         self.ranks[rank].refused += 1;
         self.refused.push((request, reason));
     }
 
-    fn remove_waiting(&mut self, request: WorkId) -> Option<WaitingRequest> {
+    fn remove_waiting(&mut self, request: RequestId) -> Option<WaitingRequest> {
         let waiting = self.waiting.remove(&request)?;
         self.expiries.remove(&(waiting.start_by, request));
         self.ranks[waiting.rank].remove_request(&waiting);
--- a/crates/admit/tests/queue.rs
+++ b/crates/admit/tests/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use admit::{QueueConfig, RefusalReason, SlotQueue, WorkId, WorkTicket};
+use admit::{QueueConfig, RefusalReason, RequestId, SlotQueue, SlotRequest};
 use model::{Micros, Rank, RankConfig, RankMap};
 use proptest::prelude::*;
 
@@ -11,9 +11,9 @@
     QueueConfig { slots, ranks: RankMap(ranks) }
 }
 
-fn ticket(request: u64, rank: Rank, caller: usize, deadline: u64) -> WorkTicket {
-    WorkTicket {
-        work: WorkId(request),
+fn slot_request(request: u64, rank: Rank, caller: usize, deadline: u64) -> SlotRequest {
+    SlotRequest {
+        request: RequestId(request),
         rank,
         caller: format!("caller-{caller}").as_str().into(),
         deadline: Micros(deadline),
@@ -73,8 +73,8 @@
                 QueueStep::Enqueue { rank, caller, left, in_transaction } => {
                     next += 1;
                     let rank = Rank::ALL[rank];
-                    let ticket = WorkTicket { in_transaction, ..ticket(next, rank, caller, now + left) };
-                    let state = match queue.enqueue(Micros(now), ticket) {
+                    let slot_request = SlotRequest { in_transaction, ..slot_request(next, rank, caller, now + left) };
+                    let state = match queue.enqueue(Micros(now), slot_request) {
                         Ok(()) => RequestState::Waiting,
                         Err(reason) => {
                             let full = matches!(reason, RefusalReason::QueueFull { .. });
@@ -89,7 +89,7 @@
                     let waits = states
                         .get(&request)
                         .is_some_and(|(state, _)| *state == RequestState::Waiting);
-                    let cancelled = queue.cancel(WorkId(request));
+                    let cancelled = queue.cancel(RequestId(request));
                     // A request that the queue has already refused is returned by the next expire.
                     prop_assert!(waits || !cancelled);
                     if cancelled {
@@ -98,10 +98,10 @@
                 }
                 QueueStep::Grant => {
                     while let Some(grant) = queue.grant(Micros(now)) {
-                        let state = &mut states.get_mut(&grant.work.0).unwrap().0;
+                        let state = &mut states.get_mut(&grant.request.0).unwrap().0;
                         prop_assert_eq!(*state, RequestState::Waiting);
                         *state = RequestState::Running;
-                        running.push(grant.work);
+                        running.push(grant.request);
                         prop_assert!(running.len() <= slots as usize);
                     }
                 }
@@ -136,7 +136,7 @@
         // No request is left over.
         queue.reconfigure(config(1_000, [0, 20, 10], 6));
         let granted: Vec<_> = std::iter::from_fn(|| queue.grant(Micros(now))).collect();
-        for request in granted.into_iter().map(|grant| grant.work).chain(running) {
+        for request in granted.into_iter().map(|grant| grant.request).chain(running) {
             queue.finish(Micros(now + 1), request);
             states.get_mut(&request.0).unwrap().0 = RequestState::Ended;
         }
@@ -176,18 +176,18 @@
             for caller in 0..8 {
                 next += 1;
                 callers.insert(next, (rank, caller % 4));
-                queue.enqueue(Micros(0), ticket(next, Rank::ALL[rank], caller % 4, u64::MAX)).unwrap();
+                queue.enqueue(Micros(0), slot_request(next, Rank::ALL[rank], caller % 4, u64::MAX)).unwrap();
             }
         }
         for turn in 0..1_500 {
             while let Some(grant) = queue.grant(Micros(now)) {
-                let (rank, caller) = callers[&grant.work.0];
+                let (rank, caller) = callers[&grant.request.0];
                 let time = times[turn % times.len()];
                 let time = [time.0, time.1, time.2][rank] * weights[caller];
-                running.push((now + time, grant.work.0, rank, caller));
+                running.push((now + time, grant.request.0, rank, caller));
                 next += 1;
                 callers.insert(next, (rank, caller));
-                queue.enqueue(Micros(now), ticket(next, Rank::ALL[rank], caller, u64::MAX)).unwrap();
+                queue.enqueue(Micros(now), slot_request(next, Rank::ALL[rank], caller, u64::MAX)).unwrap();
             }
             prop_assert_eq!(running.len(), slots as usize);
             let index = (0..running.len()).min_by_key(|index| running[*index].0).unwrap();
@@ -197,7 +197,7 @@
             }
             now = until;
             running.swap_remove(index);
-            queue.finish(Micros(now), WorkId(request));
+            queue.finish(Micros(now), RequestId(request));
             history.push(used);
         }
         let tolerance = longest * u64::from(slots) + longest;
@@ -226,21 +226,21 @@
 fn long_statements_leave_a_slot() {
     let mut queue = SlotQueue::new(config(2, [0, 10, 10], 100));
     let deadline = 100_000_000;
-    queue.enqueue(Micros(0), ticket(1, Rank::Batch, 0, deadline)).unwrap();
+    queue.enqueue(Micros(0), slot_request(1, Rank::Batch, 0, deadline)).unwrap();
     assert!(queue.grant(Micros(0)).is_some());
-    queue.finish(Micros(400_000), WorkId(1));
+    queue.finish(Micros(400_000), RequestId(1));
     assert_eq!(queue.service_time("batch"), Micros(400_000));
     for request in 2..5 {
-        queue.enqueue(Micros(400_000), ticket(request, Rank::Batch, 0, deadline)).unwrap();
+        queue.enqueue(Micros(400_000), slot_request(request, Rank::Batch, 0, deadline)).unwrap();
     }
-    assert_eq!(queue.grant(Micros(400_000)).unwrap().work, WorkId(2));
+    assert_eq!(queue.grant(Micros(400_000)).unwrap().request, RequestId(2));
     assert_eq!(queue.grant(Micros(400_000)), None);
-    queue.enqueue(Micros(400_000), ticket(5, Rank::Urgent, 1, deadline)).unwrap();
-    assert_eq!(queue.grant(Micros(400_000)).unwrap().work, WorkId(5));
+    queue.enqueue(Micros(400_000), slot_request(5, Rank::Urgent, 1, deadline)).unwrap();
+    assert_eq!(queue.grant(Micros(400_000)).unwrap().request, RequestId(5));
     // A short statement of a lower rank uses the slot that a long one may not.
-    queue.finish(Micros(401_000), WorkId(5));
-    queue.enqueue(Micros(401_000), ticket(6, Rank::Interactive, 1, deadline)).unwrap();
-    assert_eq!(queue.grant(Micros(401_000)).unwrap().work, WorkId(6));
+    queue.finish(Micros(401_000), RequestId(5));
+    queue.enqueue(Micros(401_000), slot_request(6, Rank::Interactive, 1, deadline)).unwrap();
+    assert_eq!(queue.grant(Micros(401_000)).unwrap().request, RequestId(6));
 }
 
 // Guards against a burst of one caller that fills the queue for the other callers of its rank.
@@ -249,30 +249,32 @@
     let mut queue = SlotQueue::new(config(1, [0, 10, 10], 4));
     let deadline = 100_000_000;
     for request in 1..=4 {
-        queue.enqueue(Micros(0), ticket(request, Rank::Urgent, 0, deadline)).unwrap();
+        queue.enqueue(Micros(0), slot_request(request, Rank::Urgent, 0, deadline)).unwrap();
     }
     let full = RefusalReason::QueueFull { limit: 4 };
-    assert_eq!(queue.enqueue(Micros(0), ticket(5, Rank::Urgent, 0, deadline)), Err(full));
-    assert_eq!(queue.enqueue(Micros(0), ticket(6, Rank::Urgent, 1, deadline)), Ok(()));
+    assert_eq!(queue.enqueue(Micros(0), slot_request(5, Rank::Urgent, 0, deadline)), Err(full));
+    assert_eq!(queue.enqueue(Micros(0), slot_request(6, Rank::Urgent, 1, deadline)), Ok(()));
     assert_eq!(queue.next_expiry(), Some(Micros::ZERO));
-    assert_eq!(queue.expire(Micros(0)), [(WorkId(4), full)]);
+    assert_eq!(queue.expire(Micros(0)), [(RequestId(4), full)]);
     // Callers take turns: the other caller is second, not last.
-    assert_eq!(queue.grant(Micros(0)).unwrap().work, WorkId(1));
-    queue.finish(Micros(1_000), WorkId(1));
-    assert_eq!(queue.grant(Micros(1_000)).unwrap().work, WorkId(6));
+    assert_eq!(queue.grant(Micros(0)).unwrap().request, RequestId(1));
+    queue.finish(Micros(1_000), RequestId(1));
+    assert_eq!(queue.grant(Micros(1_000)).unwrap().request, RequestId(6));
 }
 
 // Guards against a selector whose requests are refused forever after one very slow statement.
 #[test]
 fn estimate_recovers_after_an_outlier() {
     let mut queue = SlotQueue::new(config(1, [0, 10, 10], 4));
-    queue.enqueue(Micros(0), ticket(1, Rank::Urgent, 0, 60_000_000)).unwrap();
+    queue.enqueue(Micros(0), slot_request(1, Rank::Urgent, 0, 60_000_000)).unwrap();
     assert!(queue.grant(Micros(0)).is_some());
-    queue.finish(Micros(30_000_000), WorkId(1));
+    queue.finish(Micros(30_000_000), RequestId(1));
     let now = 30_000_000;
     let admitted = (2..200u64)
         .position(|request| {
-            queue.enqueue(Micros(now), ticket(request, Rank::Urgent, 0, now + 1_000_000)).is_ok()
+            queue
+                .enqueue(Micros(now), slot_request(request, Rank::Urgent, 0, now + 1_000_000))
+                .is_ok()
         })
         .unwrap();
     assert!(admitted < 100, "refused {admitted} times");
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
+use admit::{QueueConfig, RequestId, SlotQueue, SlotRequest};
 use failover::{ClusterWatch, DatabaseReport, DatabaseRole, WatchAction, WatchConfig, WatchEvent};
 use model::{
     CallerLabels, FleetConfig, LabelSelector, LabelSet, LogPosition, Micros, Name, Rank,
@@ -76,8 +76,8 @@
     let rank = RankConfig { floor_percent: 10, queue_limit: 1_000_000 };
     let config = QueueConfig { slots: 2, ranks: RankMap([rank; 3]) };
     let selector = Name::from("balance");
-    let ticket = |work: usize, caller: &Name| WorkTicket {
-        work: WorkId(work as u64),
+    let slot_request = |id: usize, caller: &Name| SlotRequest {
+        request: RequestId(id as u64),
         rank: Rank::Interactive,
         caller: caller.clone(),
         deadline: Micros::MAX,
@@ -87,17 +87,18 @@
     let mut queues: Vec<SlotQueue> =
         (0..databases).map(|_| SlotQueue::new(config.clone())).collect();
     for queue in &mut queues {
-        for (work, caller) in callers.iter().enumerate() {
-            let _ = queue.enqueue(Micros(0), ticket(work, caller));
+        for (id, caller) in callers.iter().enumerate() {
+            let _ = queue.enqueue(Micros(0), slot_request(id, caller));
         }
     }
     measure(turns, |turn| {
         let queue = &mut queues[spread(turn, databases)];
         let now = Micros(turn as u64 * 10);
-        let work = callers.len() + turn;
-        let _ = black_box(queue.enqueue(now, ticket(work, &callers[spread(turn, callers.len())])));
+        let id = callers.len() + turn;
+        let _ =
+            black_box(queue.enqueue(now, slot_request(id, &callers[spread(turn, callers.len())])));
         if let Some(grant) = queue.grant(now) {
-            queue.finish(now + Micros(5), grant.work);
+            queue.finish(now + Micros(5), grant.request);
         }
     })
 }
--- a/crates/bench/src/rank.rs
+++ b/crates/bench/src/rank.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::fmt::Write;
 
-use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
+use admit::{QueueConfig, RequestId, SlotQueue, SlotRequest};
 use model::{Micros, Name, Rank, RankConfig, RankMap, SeededRandom};
 
 /// Numbers of slots of a database at the two users.
@@ -151,7 +151,7 @@
 /// Common interface of both queues.
 enum QueueUnderTest {
     Ranked(Box<SlotQueue>),
-    Plain { slots: usize, running: usize, waiting: VecDeque<WorkId> },
+    Plain { slots: usize, running: usize, waiting: VecDeque<RequestId> },
 }
 
 impl QueueUnderTest {
@@ -172,44 +172,44 @@
         }
     }
 
-    fn enqueue(&mut self, now: Micros, ticket: WorkTicket) -> bool {
+    fn enqueue(&mut self, now: Micros, slot_request: SlotRequest) -> bool {
         match self {
-            QueueUnderTest::Ranked(queue) => queue.enqueue(now, ticket).is_ok(),
+            QueueUnderTest::Ranked(queue) => queue.enqueue(now, slot_request).is_ok(),
             QueueUnderTest::Plain { waiting, .. } => {
                 let room = waiting.len() < 3 * QUEUE_LIMIT as usize;
                 if room {
-                    waiting.push_back(ticket.work);
+                    waiting.push_back(slot_request.request);
                 }
                 room
             }
         }
     }
 
-    fn grant(&mut self, now: Micros) -> Option<WorkId> {
+    fn grant(&mut self, now: Micros) -> Option<RequestId> {
         match self {
-            QueueUnderTest::Ranked(queue) => queue.grant(now).map(|grant| grant.work),
+            QueueUnderTest::Ranked(queue) => queue.grant(now).map(|grant| grant.request),
             QueueUnderTest::Plain { slots, running, waiting } => {
                 if running == slots {
                     return None;
                 }
-                let work = waiting.pop_front()?;
+                let id = waiting.pop_front()?;
                 *running += 1;
-                Some(work)
+                Some(id)
             }
         }
     }
 
-    fn finish(&mut self, now: Micros, work: WorkId) {
+    fn finish(&mut self, now: Micros, id: RequestId) {
         match self {
-            QueueUnderTest::Ranked(queue) => queue.finish(now, work),
+            QueueUnderTest::Ranked(queue) => queue.finish(now, id),
             QueueUnderTest::Plain { running, .. } => *running -= 1,
         }
     }
 
-    fn expire(&mut self, now: Micros) -> Vec<WorkId> {
+    fn expire(&mut self, now: Micros) -> Vec<RequestId> {
         match self {
             QueueUnderTest::Ranked(queue) => {
-                queue.expire(now).into_iter().map(|(work, _)| work).collect()
+                queue.expire(now).into_iter().map(|(id, _)| id).collect()
             }
             QueueUnderTest::Plain { .. } => Vec::new(),
         }
@@ -259,7 +259,7 @@
         {
             finishes.pop();
             running -= 1;
-            queue.finish(now, WorkId(index as u64));
+            queue.finish(now, RequestId(index as u64));
             let request = &requests[index];
             let stream = &experiment.streams[request.stream];
             let in_time = now <= request.arrives + stream.deadline;
@@ -281,8 +281,8 @@
             && request.arrives <= now
         {
             let stream = &experiment.streams[request.stream];
-            let ticket = WorkTicket {
-                work: WorkId(arrivals as u64),
+            let slot_request = SlotRequest {
+                request: RequestId(arrivals as u64),
                 rank: stream.rank,
                 caller: request.caller.clone(),
                 deadline: request.arrives + stream.deadline,
@@ -292,7 +292,7 @@
             let rank = &mut outcome.ranks[stream.rank];
             rank.offered += u64::from(counted(arrivals));
             rank.settled += u64::from(request.arrives >= experiment.settled_from[stream.rank]);
-            if queue.enqueue(now, ticket) {
+            if queue.enqueue(now, slot_request) {
                 waiting += 1;
             } else {
                 rank.refused += u64::from(counted(arrivals));
@@ -300,8 +300,8 @@
             arrivals += 1;
         }
         loop {
-            while let Some(work) = queue.grant(now) {
-                let index = work.0 as usize;
+            while let Some(id) = queue.grant(now) {
+                let index = id.0 as usize;
                 granted[index] = now;
                 finishes.push(Reverse((now + requests[index].service, index)));
                 waiting -= 1;
@@ -312,8 +312,8 @@
             if expired.is_empty() {
                 break;
             }
-            for work in expired {
-                let index = work.0 as usize;
+            for id in expired {
+                let index = id.0 as usize;
                 let rank = &mut outcome.ranks[experiment.streams[requests[index].stream].rank];
                 rank.refused += u64::from(counted(index));
                 waiting -= 1;
--- a/crates/bench/src/share.rs
+++ b/crates/bench/src/share.rs
@@ -16,7 +16,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::fmt::Write;
 
-use admit::{QueueConfig, SlotQueue, WorkId, WorkTicket};
+use admit::{QueueConfig, RequestId, SlotQueue, SlotRequest};
 use model::{Micros, Rank, RankConfig, RankMap};
 
 use crate::rank::{
@@ -343,8 +343,8 @@
         let (drawn, rank) = (&self.requests[request], self.rank_of(request));
         let stream = &self.experiment.streams[drawn.stream];
         let deadline = drawn.arrives + stream.deadline;
-        let ticket = WorkTicket {
-            work: WorkId(request as u64),
+        let slot_request = SlotRequest {
+            request: RequestId(request as u64),
             rank,
             caller: drawn.caller.clone(),
             deadline: deadline.saturating_sub(self.forwarding_delay(request)),
@@ -352,7 +352,7 @@
             in_transaction: false,
         };
         let holder = &mut self.holders[index];
-        if holder.queue.enqueue(self.now, ticket).is_ok() {
+        if holder.queue.enqueue(self.now, slot_request).is_ok() {
             holder.waiting[rank] += 1;
         }
         self.advance_holder(index);
@@ -362,7 +362,7 @@
     fn advance_holder(&mut self, index: usize) {
         loop {
             while let Some(grant) = self.holders[index].queue.grant(self.now) {
-                let request = grant.work.0 as usize;
+                let request = grant.request.0 as usize;
                 let holder = &mut self.holders[index];
                 holder.waiting[grant.rank] -= 1;
                 holder.running += 1;
@@ -381,8 +381,8 @@
             if expired.is_empty() {
                 break;
             }
-            for (work, _) in expired {
-                let rank = self.rank_of(work.0 as usize);
+            for (id, _) in expired {
+                let rank = self.rank_of(id.0 as usize);
                 self.holders[index].waiting[rank] -= 1;
             }
         }
@@ -438,7 +438,7 @@
         }
         let index = self.holder_of(request);
         let holder = &mut self.holders[index];
-        holder.queue.finish(self.now, WorkId(request as u64));
+        holder.queue.finish(self.now, RequestId(request as u64));
         holder.running -= 1;
         holder.idle += 1;
         if let Some((to, rank)) = holder.promised.pop_front() {
--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::database::{CommandPurpose, Database};
 use crate::event::{ConnectionId, ListedDatabase};
 use crate::leadership_proof::LeadershipProof;
-use crate::request::{RequestStage, WorkId};
+use crate::request::{RequestId, RequestStage};
 use crate::{Gate, fields};
 
 /// Time within which a failover is expected to complete: detection, one round of fences and one
@@ -38,9 +38,9 @@
     pub(crate) members: Vec<Name>,
     pub(crate) proof: LeadershipProof,
     /// Requests that wait for a leader.
-    pub(crate) waiting_for_leader: Vec<WorkId>,
+    pub(crate) waiting_for_leader: Vec<RequestId>,
     /// Requests that wait for proof of the leader.
-    pub(crate) waiting_for_proof: Vec<WorkId>,
+    pub(crate) waiting_for_proof: Vec<RequestId>,
     /// Since when requests have needed a usable leader and none is known.
     pub(crate) leader_missing_since: Option<Micros>,
     /// Latest time for which a proof is needed.
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -7,7 +7,7 @@
 use crate::cluster::LEAVING_GRACE;
 use crate::database::{BackendConnection, CommandPurpose, PendingCommand, steady_share};
 use crate::event::ConnectionId;
-use crate::request::WorkId;
+use crate::request::RequestId;
 use crate::statement::{ErrorCode, TransactionState};
 use crate::{Gate, fields};
 
@@ -455,7 +455,7 @@
         }
     }
 
-    fn is_awaited(&self, request: WorkId, connection: ConnectionId) -> bool {
+    fn is_awaited(&self, request: RequestId, connection: ConnectionId) -> bool {
         self.requests.get(&request).is_some_and(|request| request.connection == Some(connection))
     }
 }
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -7,7 +7,7 @@
 
 use crate::backend::{BackendCommand, DatabaseReport, TermPosition};
 use crate::event::{ConnectionId, ListedDatabase, SessionId};
-use crate::request::WorkId;
+use crate::request::RequestId;
 use crate::route::RouteConfig;
 use crate::statement::StatementAccess;
 
@@ -275,8 +275,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandPurpose {
     Setup,
-    Begin(WorkId),
-    Run(WorkId),
+    Begin(RequestId),
+    Run(RequestId),
     Rollback,
     Report,
     Fence,
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::backend::BackendCommand;
 use crate::database::CommandPurpose;
 use crate::event::{ConnectionId, SessionId};
-use crate::request::{RequestKind, RequestStage, WorkId};
+use crate::request::{RequestId, RequestKind, RequestStage};
 use crate::session::Transaction;
 use crate::statement::{ErrorCode, Statement};
 
@@ -30,7 +30,7 @@
                 break;
             }
             let Some(grant) = database.queue.grant(now) else { break };
-            let id = grant.work;
+            let id = grant.request;
             let Some(request) = self.requests.get(&id) else {
                 database.queue.finish(now, id);
                 continue;
@@ -60,7 +60,7 @@
     }
 
     /// Sends a request on an idle connection.
-    pub(crate) fn dispatch_request(&mut self, id: WorkId, connection: ConnectionId) {
+    pub(crate) fn dispatch_request(&mut self, id: RequestId, connection: ConnectionId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.connection = Some(connection);
@@ -99,7 +99,7 @@
     /// connection.
     pub(crate) fn send_statement(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         outside_transaction: bool,
     ) {
@@ -136,7 +136,7 @@
         self.send(connection, vec![command], CommandPurpose::Run(id));
     }
 
-    pub(crate) fn continue_transaction(&mut self, id: WorkId) {
+    pub(crate) fn continue_transaction(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(session) = self.sessions.get(&request.session) else { return };
         let Transaction::Open(open) = &session.transaction else { return };
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -78,7 +78,7 @@
 use ready::ReadyState;
 use registration::RegistrationState;
 use registry::NodeRegistry;
-use request::{ActiveRequest, WorkId};
+use request::{ActiveRequest, RequestId};
 use session::Session;
 
 /// Builds the fields of a log record.
@@ -104,8 +104,8 @@
     last_id: u64,
     table: RouteTable,
     sessions: FastMap<SessionId, Session>,
-    requests: FastMap<WorkId, ActiveRequest>,
-    backing_off: Vec<WorkId>,
+    requests: FastMap<RequestId, ActiveRequest>,
+    backing_off: Vec<RequestId>,
     clusters: FastMap<Name, ClusterState>,
     databases: FastMap<Name, Database>,
     connections: FastMap<ConnectionId, BackendConnection>,
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -10,7 +10,7 @@
 use crate::backend::{AnswerEnd, BackendAnswer, TermPosition};
 use crate::event::ConnectionId;
 use crate::request::{
-    ActiveRequest, MAX_TRIES, OVERLOADED_TEXT, RequestKind, RequestStage, WorkId,
+    ActiveRequest, MAX_TRIES, OVERLOADED_TEXT, RequestId, RequestKind, RequestStage,
 };
 use crate::session::{OpenTransaction, Transaction};
 use crate::statement::{ErrorCode, StatementAccess, TransactionState};
@@ -27,7 +27,7 @@
 
 impl Gate {
     /// Releases the slot that a request holds at its database.
-    pub(crate) fn release_slot(&mut self, id: WorkId) {
+    pub(crate) fn release_slot(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(database) =
             request.database.as_ref().and_then(|name| self.databases.get_mut(name))
@@ -38,7 +38,7 @@
     }
 
     /// Releases the slot of a request whose answer is overdue or lost.
-    pub(crate) fn abandon_slot(&mut self, id: WorkId) {
+    pub(crate) fn abandon_slot(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Some(database) =
             request.database.as_ref().and_then(|name| self.databases.get_mut(name))
@@ -52,7 +52,7 @@
     /// `cause` is the error of the database; the client gets `code` if this was the last try.
     pub(crate) fn retry_request(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         pause: Option<Micros>,
         cause: ErrorCode,
         code: ErrorCode,
@@ -92,7 +92,7 @@
     /// Handles the answer to `BEGIN`.
     pub(crate) fn begin_answered(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         answer: &BackendAnswer,
     ) {
@@ -122,7 +122,7 @@
     }
 
     /// Handles a database's answer that a request outside an open transaction did not run.
-    pub(crate) fn request_declined(&mut self, id: WorkId, code: ErrorCode) {
+    pub(crate) fn request_declined(&mut self, id: RequestId, code: ErrorCode) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(database) = request.database.clone() else { return };
         let cluster = request.route.cluster.clone();
@@ -169,7 +169,7 @@
     /// Handles the answer to a client's statement.
     pub(crate) fn statement_answered(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         answer: BackendAnswer,
     ) {
@@ -209,7 +209,7 @@
     }
 
     /// Makes a transaction pending again if none of its statements has run.
-    pub(crate) fn restore_pending_transaction(&mut self, id: WorkId, connection: ConnectionId) {
+    pub(crate) fn restore_pending_transaction(&mut self, id: RequestId, connection: ConnectionId) {
         let Some(request) = self.requests.get(&id) else { return };
         let RequestKind::Begin { begin, read_only } = request.kind.clone() else { return };
         let (session_id, started_at, route) =
@@ -220,7 +220,7 @@
         self.release_transaction(connection, session_id);
     }
 
-    pub(crate) fn statement_succeeded(&mut self, id: WorkId, answer: BackendAnswer) {
+    pub(crate) fn statement_succeeded(&mut self, id: RequestId, answer: BackendAnswer) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (cluster, database) = (request.route.cluster.clone(), request.database.clone());
@@ -259,7 +259,7 @@
     }
 
     /// Replies with a successful answer.
-    pub(crate) fn reply_success(&mut self, id: WorkId, answer: BackendAnswer) {
+    pub(crate) fn reply_success(&mut self, id: RequestId, answer: BackendAnswer) {
         let AnswerEnd::Done(signature) = answer.end else { return };
         let reply = ClientReply::Done { rows: answer.rows, signature: Some(signature) };
         let commit = self.requests.get(&id).is_some_and(ActiveRequest::is_commit);
@@ -268,7 +268,7 @@
     }
 
     /// Replies to a request that failed or was given up, outside an open transaction.
-    pub(crate) fn refuse(&mut self, id: WorkId, code: ErrorCode, text: &str) {
+    pub(crate) fn refuse(&mut self, id: RequestId, code: ErrorCode, text: &str) {
         let reply = ClientReply::Failed { code, text: text.to_string() };
         if let Some(request) = self.requests.get(&id)
             && matches!(request.kind, RequestKind::Begin { .. } | RequestKind::Continue)
@@ -281,7 +281,7 @@
     }
 
     /// Replies to a statement whose transaction cannot continue, and rolls the transaction back.
-    pub(crate) fn fail_transaction(&mut self, id: WorkId, code: ErrorCode, text: &str) {
+    pub(crate) fn fail_transaction(&mut self, id: RequestId, code: ErrorCode, text: &str) {
         let Some(request) = self.requests.get(&id) else { return };
         let (session_id, commit) = (request.session, request.is_commit());
         if let Some(session) = self.sessions.get_mut(&session_id) {
@@ -297,7 +297,7 @@
 
     pub(crate) fn finish_request(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         reply: ClientReply,
         outcome: &'static str,
         committed: bool,
@@ -359,7 +359,7 @@
 
     /// Reroutes the requests queued at a database to other databases.
     pub(crate) fn reroute_queued_requests(&mut self, name: &Name) {
-        let queued: Vec<WorkId> = self
+        let queued: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, request)| {
@@ -377,7 +377,7 @@
     }
 
     /// Removes a request whose client is gone.
-    pub(crate) fn abandon_request(&mut self, id: WorkId) {
+    pub(crate) fn abandon_request(&mut self, id: RequestId) {
         self.abandon_slot(id);
         self.release_slot(id);
         self.requests.remove(&id);
@@ -385,7 +385,7 @@
 
     /// Handles the loss of a connection that a request was sent on. `statement_sent` tells whether
     /// the statement itself was sent.
-    pub(crate) fn request_connection_lost(&mut self, id: WorkId, statement_sent: bool) {
+    pub(crate) fn request_connection_lost(&mut self, id: RequestId, statement_sent: bool) {
         self.abandon_slot(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
         if statement_sent && request.may_take_effect() {
@@ -408,7 +408,7 @@
     /// Resumes requests after their backoff, and ends those whose time limit has passed.
     pub(crate) fn resume_and_expire_requests(&mut self) {
         let now = self.now;
-        let due: Vec<WorkId> = self
+        let due: Vec<RequestId> = self
             .backing_off
             .iter()
             .copied()
@@ -426,7 +426,7 @@
                 self.route_request(id);
             }
         }
-        let expired: Vec<WorkId> = self
+        let expired: Vec<RequestId> = self
             .requests
             .iter()
             .filter(|(_, request)| {
@@ -454,7 +454,7 @@
         Micros(usual.0 * READ_TIMEOUT_FACTOR).clamp(READ_TIMEOUT_MIN, READ_TIMEOUT_MAX)
     }
 
-    pub(crate) fn request_timed_out(&mut self, id: WorkId) {
+    pub(crate) fn request_timed_out(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let deadline_passed = self.now >= request.deadline;
         if request.stage == RequestStage::Sent {
@@ -485,7 +485,7 @@
     }
 
     /// Records that a database owes an answer.
-    pub(crate) fn record_overdue(&mut self, id: WorkId) {
+    pub(crate) fn record_overdue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(sent), Some(name)) = (request.sent, request.database.clone()) else { return };
         if request.may_take_effect()
@@ -507,7 +507,7 @@
 
     /// Handles a request whose answer is overdue. `deadline_passed` tells whether its time limit has
     /// passed.
-    pub(crate) fn sent_request_timed_out(&mut self, id: WorkId, deadline_passed: bool) {
+    pub(crate) fn sent_request_timed_out(&mut self, id: RequestId, deadline_passed: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let unknown = "the time limit passed, the outcome is not known";
         match request.kind {
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -11,7 +11,7 @@
 use crate::Gate;
 use crate::database::{Database, UNRESPONSIVE_TIMEOUT};
 use crate::event::{ListedDatabase, NodeRole, SessionOrigin};
-use crate::request::{OWNER_RETRY_INTERVAL, WorkId};
+use crate::request::{OWNER_RETRY_INTERVAL, RequestId};
 
 /// Time for which a node that refused requests of a cluster gets no more of them, where every node
 /// is an owner.
@@ -89,7 +89,7 @@
         contacts
     }
 
-    pub(crate) fn is_forwarded(&self, id: WorkId) -> bool {
+    pub(crate) fn is_forwarded(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
             .and_then(|request| self.sessions.get(&request.session))
@@ -97,7 +97,7 @@
     }
 
     /// Chooses a node that precedes this one among the owners of the request's cluster.
-    pub(crate) fn choose_owner(&mut self, id: WorkId) -> Option<Name> {
+    pub(crate) fn choose_owner(&mut self, id: RequestId) -> Option<Name> {
         let cluster = &self.requests.get(&id)?.route.cluster;
         let owners = self.owners.owners_of(cluster)?;
         let own = owners.iter().position(|node| *node == self.settings.node);
@@ -106,11 +106,11 @@
     }
 
     /// Chooses a node that may be able to serve a request; returns the entry that stands for it.
-    pub(crate) fn choose_peer(&mut self, id: WorkId) -> Option<Name> {
+    pub(crate) fn choose_peer(&mut self, id: RequestId) -> Option<Name> {
         self.choose_peer_before(id, usize::MAX)
     }
 
-    fn choose_peer_before(&mut self, id: WorkId, end: usize) -> Option<Name> {
+    fn choose_peer_before(&mut self, id: RequestId, end: usize) -> Option<Name> {
         if self.is_forwarded(id) {
             return None;
         }
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use admit::{RefusalReason, WorkTicket};
+use admit::{RefusalReason, SlotRequest};
 use model::{Micros, Name};
 
 use crate::Gate;
@@ -15,7 +15,7 @@
 use crate::session::coverage_time;
 use crate::statement::{ClientRequest, ErrorCode, Statement, StatementAccess};
 
-pub(crate) use admit::WorkId;
+pub(crate) use admit::RequestId;
 
 /// Maximum number of times that one request is sent.
 pub(crate) const MAX_TRIES: u32 = 4;
@@ -121,8 +121,8 @@
         kind: RequestKind,
         route: Arc<RouteConfig>,
         started_at: Micros,
-    ) -> WorkId {
-        let id = WorkId(self.next_id());
+    ) -> RequestId {
+        let id = RequestId(self.next_id());
         let request = ActiveRequest {
             session,
             client_request,
@@ -146,7 +146,7 @@
     }
 
     /// Chooses a database for a request and queues it there.
-    pub(crate) fn route_request(&mut self, id: WorkId) {
+    pub(crate) fn route_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if matches!(request.kind, RequestKind::Continue) {
             return self.continue_transaction(id);
@@ -212,7 +212,7 @@
     }
 
     /// Holds a request at a node that only forwards until an owner may be able to serve it.
-    fn wait_for_owner(&mut self, id: WorkId) {
+    fn wait_for_owner(&mut self, id: RequestId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         if now >= request.arrived + HOLD_TIMEOUT {
@@ -228,13 +228,13 @@
 
     /// Returns the error code for a request that this node cannot serve. Another node is told to go
     /// elsewhere.
-    pub(crate) fn refusal_code(&self, id: WorkId) -> ErrorCode {
+    pub(crate) fn refusal_code(&self, id: RequestId) -> ErrorCode {
         if self.is_forwarded(id) { ErrorCode::Misrouted } else { ErrorCode::Busy }
     }
 
     /// Returns the required position of a read: what its session has written, or what the
     /// forwarding node requires.
-    pub(crate) fn required_position(&self, id: WorkId) -> Option<TermPosition> {
+    pub(crate) fn required_position(&self, id: RequestId) -> Option<TermPosition> {
         let request = self.requests.get(&id)?;
         let own = match request.route.freshness {
             Freshness::Session(_) => {
@@ -280,7 +280,7 @@
     /// Chooses the least loaded replica that holds or probably holds the position.
     fn choose_replica(
         &self,
-        id: WorkId,
+        id: RequestId,
         cluster: &Name,
         required_position: Option<TermPosition>,
     ) -> Option<Name> {
@@ -318,7 +318,7 @@
 
     pub(crate) fn queue_at(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         name: Name,
         required_position: Option<TermPosition>,
         proof_time: Option<Micros>,
@@ -330,8 +330,8 @@
         request.required_position = required_position;
         request.proof_time = proof_time;
         request.stage = RequestStage::Queued;
-        let ticket = WorkTicket {
-            work: id,
+        let slot_request = SlotRequest {
+            request: id,
             rank: request.route.rank,
             caller: Name::from(format!("s{}", request.session.0)),
             deadline: request.deadline,
@@ -342,13 +342,13 @@
             self.count("requests_shed");
             return self.refuse(id, ErrorCode::Busy, OVERLOADED_TEXT);
         }
-        if let Err(reason) = database.queue.enqueue(now, ticket) {
+        if let Err(reason) = database.queue.enqueue(now, slot_request) {
             return self.refuse_queued(id, reason);
         }
         self.dispatch_queued(&name);
     }
 
-    pub(crate) fn refuse_queued(&mut self, id: WorkId, reason: RefusalReason) {
+    pub(crate) fn refuse_queued(&mut self, id: RequestId, reason: RefusalReason) {
         let text = match reason {
             RefusalReason::QueueFull { .. } => "not run, the queue is full, retry after 200 ms",
             RefusalReason::DeadlineUnreachable { .. } => {
@@ -360,7 +360,7 @@
     }
 
     /// Holds a request until a leader is known.
-    pub(crate) fn wait_for_leader(&mut self, id: WorkId) {
+    pub(crate) fn wait_for_leader(&mut self, id: RequestId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let cluster = request.route.cluster.clone();
--- a/crates/gate/src/session.rs
+++ b/crates/gate/src/session.rs
@@ -14,7 +14,7 @@
 use crate::backend::{BackendCommand, TermPosition};
 use crate::database::CommandPurpose;
 use crate::event::{ConnectionId, SessionId, SessionOrigin};
-use crate::request::{RequestKind, WorkId};
+use crate::request::{RequestId, RequestKind};
 use crate::route::{Freshness, RouteConfig};
 use crate::statement::{ClientRequest, ErrorCode, Statement, StatementAccess, TransactionState};
 use crate::{Gate, fields};
@@ -56,7 +56,7 @@
     /// Position of the session's last commit, by cluster.
     pub(crate) commit_positions: FastMap<Name, TermPosition>,
     pub(crate) transaction: Transaction,
-    pub(crate) active_request: Option<WorkId>,
+    pub(crate) active_request: Option<RequestId>,
     pub(crate) origin: SessionOrigin,
 }
 
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -1,6 +1,6 @@
 //! Cluster side: monitoring and promotions of each cluster of which this node owns a database.
 
-use admit::WorkId;
+use admit::RequestId;
 use failover::{
     ClusterWatch, CommitId, LeaderView, Supervisor, SupervisorAction, SupervisorEvent, WatchAction,
     WatchConfig, WatchEvent,
@@ -153,7 +153,7 @@
     /// Declines writes that are queued at the replaced primary. They would be declined when dequeued, but
     /// their deadline may have passed by then.
     fn decline_writes_at_replaced_primary(&mut self, cluster: &Name, leader: &Name) {
-        let mut waiting: Vec<WorkId> = self
+        let mut waiting: Vec<RequestId> = self
             .owner
             .requests
             .iter()
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use admit::{RetryBudget, WorkId};
+use admit::{RequestId, RetryBudget};
 use bytes::Bytes;
 use model::{FastMap, Micros, Name};
 use route::{StatementClass, WorkPolicy, classify};
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptPath {
-    Local(WorkId),
+    Local(RequestId),
     Remote(CallId),
 }
 
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -1,6 +1,6 @@
 //! Exchanges on backend connections, their results, and the acknowledgement of commits.
 
-use admit::{ConnectionId, WorkId};
+use admit::{ConnectionId, RequestId};
 use bytes::Bytes;
 use failover::{CommitId, WatchEvent};
 use model::{Name, SessionFloor, Term};
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Sends a request on its connection, unless its proof no longer holds.
-    pub(crate) fn dispatch_owner_request(&mut self, id: WorkId, connection: ConnectionId) {
+    pub(crate) fn dispatch_owner_request(&mut self, id: RequestId, connection: ConnectionId) {
         let refusal = match self.check_proof(id) {
             ProofCheck::Ready => None,
             ProofCheck::WaitForRound => Some(DeclineReason::NoProof),
@@ -53,7 +53,7 @@
 
     pub(crate) fn start_exchange(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         frames: Bytes,
         mode: RelayMode,
@@ -102,7 +102,7 @@
 
     fn unkeyed_exchange_finished(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         run: RunId,
         summary: &RunSummary,
@@ -152,7 +152,7 @@
     /// Ends a request whose answer was relayed completely.
     pub(crate) fn complete_owner_request(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         transaction: TransactionState,
         floor: Option<SessionFloor>,
     ) {
@@ -166,7 +166,7 @@
     /// Pins the connection while a transaction is open on it, otherwise returns it to the pool.
     pub(crate) fn pin_or_release_connection(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         state: TransactionState,
     ) {
@@ -212,7 +212,7 @@
     /// connection.
     pub(crate) fn await_acknowledgement(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         run: Option<RunId>,
         term: Term,
         durable: bool,
@@ -299,7 +299,7 @@
     }
 
     /// Ends a request in progress whose connection was lost.
-    pub(crate) fn owner_request_lost(&mut self, id: WorkId, message: &str) {
+    pub(crate) fn owner_request_lost(&mut self, id: RequestId, message: &str) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         let message = message.to_string();
         let (read, commits, pinned) =
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -5,7 +5,7 @@
 //! separate exchange on the same connection; the statement's answer is held until the commit is
 //! acknowledged as durable.
 
-use admit::{ConnectionId, WorkId};
+use admit::{ConnectionId, RequestId};
 use stats::CallerMeasure;
 
 use crate::Node;
@@ -63,7 +63,7 @@
 
 impl Node {
     /// Inserts the key, after creating the table if that has not been done in this term.
-    pub(crate) fn start_keyed_write(&mut self, id: WorkId, connection: ConnectionId) {
+    pub(crate) fn start_keyed_write(&mut self, id: RequestId, connection: ConnectionId) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         let ready = self.is_key_table_ready(&request.routed.database, request.term);
         match ready {
@@ -72,14 +72,20 @@
         }
     }
 
-    fn start_key_query(&mut self, id: WorkId, connection: ConnectionId, step: KeyStep, text: &str) {
+    fn start_key_query(
+        &mut self,
+        id: RequestId,
+        connection: ConnectionId,
+        step: KeyStep,
+        text: &str,
+    ) {
         if let Some(request) = self.owner.requests.get_mut(&id) {
             request.key_step = Some(step);
         }
         self.start_exchange(id, connection, simple_query(text), RelayMode::Collect);
     }
 
-    fn insert_key(&mut self, id: WorkId, connection: ConnectionId) {
+    fn insert_key(&mut self, id: RequestId, connection: ConnectionId) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         let begin = if request.pin.is_some() { "" } else { "BEGIN; " };
         let (key, caller, hash) = self.key_values(id);
@@ -91,13 +97,13 @@
     }
 
     /// Returns the key and the user as SQL constants, and the hash of the statement.
-    fn key_values(&self, id: WorkId) -> (String, String, String) {
+    fn key_values(&self, id: RequestId) -> (String, String, String) {
         let Some(request) = self.owner.requests.get(&id) else { return Default::default() };
         let key = request.routed.request_key.as_deref().unwrap_or_default();
         (quote_text(key), quote_text(&request.routed.user), statement_hash(&request.routed.request))
     }
 
-    fn start_statement(&mut self, id: WorkId, connection: ConnectionId) {
+    fn start_statement(&mut self, id: RequestId, connection: ConnectionId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.key_step = Some(KeyStep::Statement);
         let Some(target) = request.target() else { return };
@@ -111,7 +117,7 @@
 
     fn record_outcome(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         statement: RunId,
         summary: &RunSummary,
@@ -128,7 +134,7 @@
         self.start_key_query(id, connection, step, &text);
     }
 
-    fn look_up_key(&mut self, id: WorkId, connection: ConnectionId) {
+    fn look_up_key(&mut self, id: RequestId, connection: ConnectionId) {
         let (key, caller, _) = self.key_values(id);
         let text = format!(
             "SELECT outcome, statement_hash FROM cicadawick_requests \
@@ -137,14 +143,14 @@
         self.start_key_query(id, connection, KeyStep::Lookup, &text);
     }
 
-    fn roll_back_key(&mut self, id: WorkId, connection: ConnectionId, then: AfterRollBack) {
+    fn roll_back_key(&mut self, id: RequestId, connection: ConnectionId, then: AfterRollBack) {
         self.start_key_query(id, connection, KeyStep::RollBack { then }, "ROLLBACK");
     }
 
     /// Handles the end of an exchange of a keyed write and starts the next step.
     pub(crate) fn keyed_exchange_finished(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         run: RunId,
         summary: RunSummary,
@@ -219,7 +225,7 @@
 
     fn key_rolled_back(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         state: TransactionState,
         then: AfterRollBack,
@@ -239,7 +245,7 @@
         }
     }
 
-    fn key_looked_up(&mut self, id: WorkId, connection: ConnectionId, summary: &RunSummary) {
+    fn key_looked_up(&mut self, id: RequestId, connection: ConnectionId, summary: &RunSummary) {
         let (_, _, hash) = self.key_values(id);
         match summary.first_row.as_slice() {
             [outcome, recorded] if recorded.as_deref() == Some(hash.as_str()) => {
@@ -267,7 +273,7 @@
     /// Releases the slot and the connection after the last exchange.
     fn release_keyed_request(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         state: TransactionState,
     ) {
@@ -280,7 +286,7 @@
 
     fn reply_keyed_error(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         connection: ConnectionId,
         state: TransactionState,
         error: ErrorReply,
@@ -297,7 +303,7 @@
 
     /// Returns the exchange of the statement whose answer is still held during a later step. It has to
     /// be discarded if the request ends early.
-    pub(crate) fn undecided_statement(&self, id: WorkId) -> Option<RunId> {
+    pub(crate) fn undecided_statement(&self, id: RequestId) -> Option<RunId> {
         let request = self.owner.requests.get(&id)?;
         if !matches!(request.stage, RequestStage::Running { .. }) {
             return None;
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use admit::{ConnectionId, ConnectionPool, PoolConfig, QueueConfig, SlotQueue, WorkId};
+use admit::{ConnectionId, ConnectionPool, PoolConfig, QueueConfig, RequestId, SlotQueue};
 use failover::CommitId;
 use model::{
     ClusterConfig, DatabaseConfig, FastMap, FastSet, Micros, Name, Rank, SessionFloor, Term,
@@ -64,7 +64,7 @@
     /// The peer that has the session.
     pub peer: Option<Name>,
     /// The statement in progress.
-    pub request: Option<WorkId>,
+    pub request: Option<RequestId>,
 }
 
 #[derive(Debug)]
@@ -140,7 +140,7 @@
     pub open: bool,
     /// When the node asked the I/O driver to open it.
     pub requested_at: Micros,
-    pub request: Option<WorkId>,
+    pub request: Option<RequestId>,
     pub pin: Option<PinKey>,
 }
 
@@ -153,12 +153,12 @@
     pub queue: SlotQueue,
     pub pool: ConnectionPool,
     /// Requests with a slot that wait for a connection, in the order of the grants.
-    pub awaiting_connection: VecDeque<WorkId>,
+    pub awaiting_connection: VecDeque<RequestId>,
     /// Requests that would exceed `transaction_limit`.
-    pub deferred: BTreeSet<(Rank, WorkId)>,
+    pub deferred: BTreeSet<(Rank, RequestId)>,
     pub pins: FastSet<PinKey>,
     /// Requests in progress that open a transaction.
-    pub opening_transactions: FastSet<WorkId>,
+    pub opening_transactions: FastSet<RequestId>,
     /// Maximum number of open transactions. The other connections, one for each slot, are kept free of
     /// transactions to avoid a deadlock: requests that hold all slots would wait for connections of
     /// transactions whose next statements wait for a slot.
@@ -173,9 +173,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct OwnerState {
     pub services: FastMap<Name, DatabaseService>,
-    pub requests: FastMap<WorkId, OwnerRequest>,
-    pub calls: FastMap<CallId, WorkId>,
-    pub exchanges: FastMap<RunId, WorkId>,
+    pub requests: FastMap<RequestId, OwnerRequest>,
+    pub calls: FastMap<CallId, RequestId>,
+    pub exchanges: FastMap<RunId, RequestId>,
     pub commits: FastMap<CommitId, CommitPurpose>,
     pub connections: FastMap<ConnectionId, BackendConnection>,
     pub pins: FastMap<PinKey, TransactionPin>,
@@ -185,9 +185,9 @@
 /// What a commit identifier given to the cluster monitor stands for.
 #[derive(Debug)]
 pub(crate) enum CommitPurpose {
-    OwnerRequest(WorkId),
+    OwnerRequest(RequestId),
     /// Requests that wait for a confirmed report round.
-    Round(Vec<WorkId>),
+    Round(Vec<RequestId>),
 }
 
 impl DatabaseService {
@@ -295,7 +295,7 @@
         service.owned = false;
         let limit = service.config.connections.max(1);
         service.pool.reconfigure(PoolConfig { limit, keep: 0, idle_timeout: Micros::ZERO });
-        let unsent: Vec<WorkId> = self
+        let unsent: Vec<RequestId> = self
             .owner
             .requests
             .iter()
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of requests: proofs, the queue, and the grant of slots and connections.
 
-use admit::{RefusalReason, WorkId, WorkTicket};
+use admit::{RefusalReason, RequestId, SlotRequest};
 use model::{Micros, Name, Term};
 use stats::CallerMeasure;
 
@@ -19,8 +19,8 @@
         peer: Option<Name>,
         pin: Option<PinKey>,
         routed: WorkRequest,
-    ) -> WorkId {
-        let id = WorkId(self.next_id());
+    ) -> RequestId {
+        let id = RequestId(self.next_id());
         if let RequestOrigin::Call(call) = origin {
             self.owner.calls.insert(call, id);
         }
@@ -57,7 +57,7 @@
     }
 
     /// Checks leadership and proofs of a request that arrived or waited for a report round.
-    pub(crate) fn check_owner_request(&mut self, id: WorkId) {
+    pub(crate) fn check_owner_request(&mut self, id: RequestId) {
         match self.check_proof(id) {
             ProofCheck::Ready => self.enqueue_owner_request(id),
             ProofCheck::WaitForRound => self.wait_for_round(id),
@@ -66,7 +66,7 @@
         }
     }
 
-    fn enqueue_owner_request(&mut self, id: WorkId) {
+    fn enqueue_owner_request(&mut self, id: RequestId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         let Some(service) = self.owner.services.get_mut(&request.routed.database) else { return };
         if request.opens_transaction() && !service.opening_transactions.contains(&id) {
@@ -84,15 +84,15 @@
             }
             service.opening_transactions.insert(id);
         }
-        let ticket = WorkTicket {
-            work: id,
+        let slot_request = SlotRequest {
+            request: id,
             rank: request.routed.rank,
             caller: request.routed.caller.clone(),
             deadline: request.deadline,
             selector: request.routed.selector.clone(),
             in_transaction: request.pin.is_some(),
         };
-        match service.queue.enqueue(self.now, ticket) {
+        match service.queue.enqueue(self.now, slot_request) {
             Ok(()) => {
                 request.stage = RequestStage::Queued;
                 let database = request.routed.database.clone();
@@ -106,7 +106,7 @@
         }
     }
 
-    fn decline_refused_request(&mut self, id: WorkId, reason: RefusalReason) {
+    fn decline_refused_request(&mut self, id: RequestId, reason: RefusalReason) {
         let reason = match reason {
             RefusalReason::QueueFull { limit } => DeclineReason::QueueFull { limit },
             RefusalReason::DeadlineUnreachable { expected } => DeclineReason::Deadline { expected },
@@ -116,7 +116,7 @@
     }
 
     /// Sets the timer of a request.
-    pub(crate) fn arm_owner_request(&mut self, id: WorkId, due: Option<Micros>) {
+    pub(crate) fn arm_owner_request(&mut self, id: RequestId, due: Option<Micros>) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         if request.timer_due != due {
             request.timer_due = due;
@@ -175,8 +175,8 @@
         let now = self.now;
         while let Some(service) = self.owner.services.get_mut(database) {
             let Some(grant) = service.queue.grant(now) else { break };
-            let Some(request) = self.owner.requests.get_mut(&grant.work) else {
-                service.queue.finish(now, grant.work);
+            let Some(request) = self.owner.requests.get_mut(&grant.request) else {
+                service.queue.finish(now, grant.request);
                 continue;
             };
             request.granted_at = Some(now);
@@ -184,14 +184,16 @@
             let pin = request.pin.and_then(|pin| self.owner.pins.get(&pin));
             match (request.pin, pin.map(|pin| pin.connection)) {
                 (None, _) => {
-                    service.awaiting_connection.push_back(grant.work);
+                    service.awaiting_connection.push_back(grant.request);
                     let deadline = request.deadline;
-                    self.arm_owner_request(grant.work, Some(deadline));
+                    self.arm_owner_request(grant.request, Some(deadline));
+                }
+                (Some(_), Some(connection)) => {
+                    self.dispatch_owner_request(grant.request, connection)
                 }
-                (Some(_), Some(connection)) => self.dispatch_owner_request(grant.work, connection),
                 (Some(_), None) => {
                     self.roll_back_owner_request(
-                        grant.work,
+                        grant.request,
                         "the connection of the transaction was lost".to_string(),
                     );
                 }
@@ -212,7 +214,7 @@
         }
     }
 
-    pub(crate) fn release_slot(&mut self, id: WorkId) {
+    pub(crate) fn release_slot(&mut self, id: RequestId) {
         let now = self.now;
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         let Some(granted_at) = request.granted_at.take() else { return };
--- a/crates/node/src/owner/pin.rs
+++ b/crates/node/src/owner/pin.rs
@@ -1,6 +1,6 @@
 //! Connections that are pinned for a transaction.
 
-use admit::WorkId;
+use admit::RequestId;
 use model::Name;
 
 use super::{PinKey, TransactionPin};
@@ -33,7 +33,7 @@
     /// Rolls back the transactions of a lost peer and abandons its requests.
     pub(crate) fn abandon_peer_requests(&mut self, peer: &Name) {
         let from_peer = |other: &Option<Name>| other.as_ref() == Some(peer);
-        let mut requests: Vec<WorkId> = self
+        let mut requests: Vec<RequestId> = self
             .owner
             .requests
             .iter()
@@ -57,7 +57,7 @@
     }
 
     /// Returns the lane that the request's connection is pinned for.
-    pub(super) fn lane_of(&self, id: WorkId) -> Option<LaneId> {
+    pub(super) fn lane_of(&self, id: RequestId) -> Option<LaneId> {
         let key = self.owner.requests.get(&id)?.pin?;
         match key {
             PinKey::Lane(lane) if self.owner.pins.contains_key(&key) => Some(lane),
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -1,6 +1,6 @@
 //! Deadlines, cancellation and replies of owner requests.
 
-use admit::WorkId;
+use admit::RequestId;
 use model::{Micros, Name};
 
 use super::{CANCEL_GRACE, OwnerRequest, PinKey, RequestOrigin, RequestStage};
@@ -29,7 +29,7 @@
     }
 
     /// Handles the timer of a request: its deadline, or the end of the grace period after a cancel.
-    pub(crate) fn owner_request_timer_due(&mut self, id: WorkId) {
+    pub(crate) fn owner_request_timer_due(&mut self, id: RequestId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.timer_due = None;
         match request.stage {
@@ -55,7 +55,7 @@
     }
 
     /// Cancels a request whose client still waits for the reply.
-    pub(crate) fn cancel_owner_request(&mut self, id: WorkId) {
+    pub(crate) fn cancel_owner_request(&mut self, id: RequestId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         match (&request.stage, request.connection) {
             (RequestStage::Running { run, .. }, Some(connection)) => {
@@ -68,7 +68,7 @@
     }
 
     /// Ends a request for which nobody waits any more.
-    pub(crate) fn abandon_owner_request(&mut self, id: WorkId) {
+    pub(crate) fn abandon_owner_request(&mut self, id: RequestId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         if let RequestOrigin::Call(call) = request.origin {
             self.owner.calls.remove(&call);
@@ -103,7 +103,7 @@
     }
 
     /// Removes a request from every table and releases its slot and its share of the transaction limit.
-    pub(crate) fn remove_owner_request(&mut self, id: WorkId) -> Option<OwnerRequest> {
+    pub(crate) fn remove_owner_request(&mut self, id: RequestId) -> Option<OwnerRequest> {
         self.release_slot(id);
         let request = self.owner.requests.remove(&id)?;
         if let Some(service) = self.owner.services.get_mut(&request.routed.database) {
@@ -142,7 +142,7 @@
     }
 
     /// Ends a request with a reply.
-    pub(crate) fn reply_owner_request(&mut self, id: WorkId, reply: WorkReply) {
+    pub(crate) fn reply_owner_request(&mut self, id: RequestId, reply: WorkReply) {
         let lane = self.lane_of(id);
         let Some(request) = self.remove_owner_request(id) else { return };
         let reply = match reply {
@@ -159,7 +159,7 @@
     /// Sends a reply without ending the request.
     pub(crate) fn send_reply(
         &mut self,
-        id: WorkId,
+        id: RequestId,
         origin: RequestOrigin,
         reply: WorkReply,
         lane: Option<LaneId>,
@@ -178,7 +178,7 @@
     }
 
     /// Ends a request of which nothing was sent. In a transaction this ends the transaction.
-    pub(crate) fn decline_owner_request(&mut self, id: WorkId, reason: DeclineReason) {
+    pub(crate) fn decline_owner_request(&mut self, id: RequestId, reason: DeclineReason) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         if request.pin.is_some() {
             let message = match reason {
@@ -195,7 +195,7 @@
     }
 
     /// Ends a request and the transaction that it belongs to.
-    pub(crate) fn roll_back_owner_request(&mut self, id: WorkId, message: String) {
+    pub(crate) fn roll_back_owner_request(&mut self, id: RequestId, message: String) {
         let Some(pin) = self.owner.requests.get(&id).map(|request| request.pin) else { return };
         let Some(request) = self.remove_owner_request(id) else { return };
         if let Some(key) = pin {
@@ -205,7 +205,7 @@
     }
 
     /// Returns the data age and the expected wait that a reply carries as hints.
-    pub(crate) fn age_and_wait(&self, id: WorkId) -> (Option<Micros>, Micros) {
+    pub(crate) fn age_and_wait(&self, id: RequestId) -> (Option<Micros>, Micros) {
         let Some(request) = self.owner.requests.get(&id) else { return (None, Micros::ZERO) };
         let Some(service) = self.owner.services.get(&request.routed.database) else {
             return (None, Micros::ZERO);
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -8,7 +8,7 @@
 use crate::id::RunId;
 use crate::owner::{CommitPurpose, OwnerRequest, RequestOrigin, RequestStage};
 use crate::request::{DeclineReason, WorkReply};
-use admit::WorkId;
+use admit::RequestId;
 
 /// Maximum age of the last confirmed report round at which the primary is taken to lead, for reads and
 /// for the start of writes: two rounds of 250 ms and a margin. A longer time sends more writes to a
@@ -39,7 +39,7 @@
 
 impl Node {
     /// Returns whether the request may be sent now, and stores its proof.
-    pub(crate) fn check_proof(&mut self, id: WorkId) -> ProofCheck {
+    pub(crate) fn check_proof(&mut self, id: RequestId) -> ProofCheck {
         let now = self.now;
         let Some(request) = self.owner.requests.get_mut(&id) else {
             return ProofCheck::Decline(DeclineReason::Unavailable);
@@ -94,7 +94,7 @@
     }
 
     /// Makes the request wait for a confirmed report round that begins now or later.
-    pub(crate) fn wait_for_round(&mut self, id: WorkId) {
+    pub(crate) fn wait_for_round(&mut self, id: RequestId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.rounds_awaited += 1;
         request.stage = RequestStage::WaitingForRound;
--- a/crates/node/src/timer.rs
+++ b/crates/node/src/timer.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use admit::WorkId;
+use admit::RequestId;
 use model::Micros;
 
 use crate::id::SessionId;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKey {
     Session(SessionId),
-    OwnerRequest(WorkId),
+    OwnerRequest(RequestId),
 }
 
 /// Timers in order of their due times. An entry is not removed when its timer changes: the session or
