--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -11,8 +11,8 @@
 
 use config::ChangeEnvelope;
 use failover::{
-    ClusterWatch, CommitId, DatabaseReport, DatabaseRole, LeaderView, WatchAction, WatchConfig,
-    WatchEvent,
+    ClusterMonitor, CommitId, DatabaseReport, DatabaseRole, LeaderView, MonitorAction,
+    MonitorConfig, MonitorEvent,
 };
 use member::{Heartbeat, MemberConfig, MemberEvent, MemberInfo, MemberState, MemberTable};
 use model::{LogPosition, Micros, Name, NodeSettings, Term};
@@ -602,7 +602,7 @@
 /// `interval` (`None` for no commits) and a network delay of 1 ms to the databases.
 pub fn report_rate(interval: Option<Micros>) -> f64 {
     let names: Vec<Name> = (0..DATABASES_PER_CLUSTER).map(|n| database_name(n).into()).collect();
-    let mut watch = ClusterWatch::new(WatchConfig::default(), names.clone());
+    let mut monitor = ClusterMonitor::new(MonitorConfig::default(), names.clone());
     let mut answers: BTreeMap<(Micros, u64), (Name, u64)> = BTreeMap::new();
     let (mut now, mut sequence, mut request_count, mut commit) = (Micros::ZERO, 0, 0_u64, 0);
     let (start, end) = (Micros::from_secs(2), Micros::from_secs(12));
@@ -610,18 +610,18 @@
     while now < end {
         let mut actions = Vec::new();
         let answer = answers.first_key_value().map(|((at, _), _)| *at);
-        let timer = watch.next_timer().unwrap_or(Micros::MAX).max(now);
+        let timer = monitor.next_timer().unwrap_or(Micros::MAX).max(now);
         let next = answer.unwrap_or(Micros::MAX).min(timer);
         let next = next.min(next_commit.unwrap_or(Micros::MAX));
         now = next;
         if next_commit == Some(next) {
             commit += 1;
-            let finished = WatchEvent::CommitFinished {
+            let finished = MonitorEvent::CommitFinished {
                 commit: CommitId(commit),
                 term: Term(1),
                 durable: true,
             };
-            watch.handle(now, finished, &mut actions);
+            monitor.handle(now, finished, &mut actions);
             next_commit = interval.map(|interval| now + interval);
         } else if answer == Some(next) {
             if let Some((_, (database, round))) = answers.pop_first() {
@@ -633,14 +633,14 @@
                     term_start: 24,
                 }
                 .report();
-                let event = WatchEvent::ReportArrived { database, round, report };
-                watch.handle(now, event, &mut actions);
+                let event = MonitorEvent::ReportArrived { database, round, report };
+                monitor.handle(now, event, &mut actions);
             }
         } else {
-            watch.handle(now, WatchEvent::Timer, &mut actions);
+            monitor.handle(now, MonitorEvent::Timer, &mut actions);
         }
         for action in actions {
-            if let WatchAction::AskReport { database, round } = action {
+            if let MonitorAction::AskReport { database, round } = action {
                 request_count += u64::from(now >= start);
                 sequence += 1;
                 answers.insert((now + NETWORK_DELAY + NETWORK_DELAY, sequence), (database, round));
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -8,7 +8,9 @@
 use std::time::Instant;
 
 use admit::{QueueConfig, RequestId, SlotQueue, SlotRequest};
-use failover::{ClusterWatch, DatabaseReport, DatabaseRole, WatchAction, WatchConfig, WatchEvent};
+use failover::{
+    ClusterMonitor, DatabaseReport, DatabaseRole, MonitorAction, MonitorConfig, MonitorEvent,
+};
 use model::{
     CallerLabels, FleetConfig, LabelSelector, LabelSet, LogPosition, Micros, Name, Rank,
     RankConfig, RankMap, SelectorConfig, Term,
@@ -189,13 +191,13 @@
 /// Measures one report round of a cluster; returns the time for each of its databases.
 fn measure_round(databases: usize, turns: usize) -> f64 {
     let databases = names("db", databases);
-    let mut watch = ClusterWatch::new(WatchConfig::default(), databases.clone());
+    let mut monitor = ClusterMonitor::new(MonitorConfig::default(), databases.clone());
     let mut actions = Vec::new();
     let nanos = measure(turns / databases.len() + 1, |turn| {
         let now = Micros(1 + turn as u64 * 250_000);
-        watch.handle(now, WatchEvent::Timer, &mut actions);
+        monitor.handle(now, MonitorEvent::Timer, &mut actions);
         for action in std::mem::take(&mut actions) {
-            let WatchAction::AskReport { database, round } = action else { continue };
+            let MonitorAction::AskReport { database, round } = action else { continue };
             let primary = database == databases[0];
             let report = DatabaseReport {
                 term: Term(1),
@@ -206,7 +208,11 @@
                 term_start: LogPosition(0),
                 previous_term: Term(0),
             };
-            watch.handle(now, WatchEvent::ReportArrived { database, round, report }, &mut actions);
+            monitor.handle(
+                now,
+                MonitorEvent::ReportArrived { database, round, report },
+                &mut actions,
+            );
         }
         actions.clear();
     });
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,6 +1,6 @@
 //! Leadership proofs, data-age proofs and failover of a database cluster.
 //!
-//! [`ClusterWatch`] monitors one cluster's databases in report rounds. [`Supervisor`] orders the
+//! [`ClusterMonitor`] monitors one cluster's databases in report rounds. [`Supervisor`] orders the
 //! cluster's promotions. Both are state machines without clock or sockets: the driver executes their
 //! actions and passes in the time of its monotonic clock.
 
@@ -9,8 +9,8 @@
 
 pub use model::DatabaseRole;
 pub use monitor::{
-    ClusterWatch, CommitId, DatabaseReport, FloorState, LeaderView, MonitorFaults, TermStart,
-    WatchAction, WatchConfig, WatchEvent,
+    ClusterMonitor, CommitId, DatabaseReport, FloorState, LeaderView, MonitorAction, MonitorConfig,
+    MonitorEvent, MonitorFaults, TermStart,
 };
 pub use supervisor::{
     LeaderRecord, RecordState, Supervisor, SupervisorAction, SupervisorEvent, SupervisorFaults,
--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -78,7 +78,7 @@
 
 /// Intervals and timeouts of a cluster monitor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WatchConfig {
+pub struct MonitorConfig {
     /// Time between rounds while no commit waits.
     pub idle_interval: Micros,
     /// Time after which a report counts as failed.
@@ -89,9 +89,9 @@
     pub acknowledge_timeout: Micros,
 }
 
-impl Default for WatchConfig {
+impl Default for MonitorConfig {
     fn default() -> Self {
-        WatchConfig {
+        MonitorConfig {
             idle_interval: Micros::from_millis(250),
             report_timeout: Micros::from_millis(500),
             suspect_after: Micros::from_secs(1),
@@ -100,9 +100,9 @@
     }
 }
 
-/// Input of a [`ClusterWatch`].
+/// Input of a [`ClusterMonitor`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum WatchEvent {
+pub enum MonitorEvent {
     /// A database answered the report request of a round.
     ReportArrived { database: Name, round: u64, report: DatabaseReport },
     /// The report connection of a database failed.
@@ -115,7 +115,7 @@
 
 /// Action that the driver executes for the monitor.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WatchAction {
+pub enum MonitorAction {
     /// Send a report request.
     AskReport { database: Name, round: u64 },
     /// The commit may be acknowledged; `floor` is the position that covers it.
@@ -260,9 +260,9 @@
 /// use model::{LogPosition, Micros, Name, Term};
 ///
 /// let names = ["a", "b", "c"].map(Name::from).to_vec();
-/// let mut monitor = ClusterWatch::new(WatchConfig::default(), names);
+/// let mut monitor = ClusterMonitor::new(MonitorConfig::default(), names);
 /// let mut actions = Vec::new();
-/// monitor.handle(Micros(1), WatchEvent::Timer, &mut actions);
+/// monitor.handle(Micros(1), MonitorEvent::Timer, &mut actions);
 /// assert_eq!(actions.len(), 3); // One request to each database.
 /// actions.clear();
 /// for (name, role) in [("a", DatabaseRole::Primary), ("b", DatabaseRole::Replica)] {
@@ -275,15 +275,15 @@
 ///         term_start: LogPosition(0),
 ///         previous_term: Term(0),
 ///     };
-///     let event = WatchEvent::ReportArrived { database: name.into(), round: 1, report };
+///     let event = MonitorEvent::ReportArrived { database: name.into(), round: 1, report };
 ///     monitor.handle(Micros(500), event, &mut actions);
 /// }
-/// assert!(actions.contains(&WatchAction::LeaderChanged { term: Term(1), leader: "a".into() }));
+/// assert!(actions.contains(&MonitorAction::LeaderChanged { term: Term(1), leader: "a".into() }));
 /// assert_eq!(monitor.provable_age(Micros(1_001), "b"), Some(Micros(1_000)));
 /// ```
 #[derive(Debug)]
-pub struct ClusterWatch {
-    config: WatchConfig,
+pub struct ClusterMonitor {
+    config: MonitorConfig,
     faults: MonitorFaults,
     databases: Vec<DatabaseState>,
     /// The current round and earlier ones with a request in flight; at most databases + 1.
@@ -306,13 +306,13 @@
     suspected: bool,
 }
 
-impl ClusterWatch {
+impl ClusterMonitor {
     /// Creates a monitor without any reports.
     ///
     /// Two lists that are in use at the same time must differ by at most one database, so that any
     /// majority of one shares a database with any majority of the other.
-    pub fn new(config: WatchConfig, databases: Vec<Name>) -> Self {
-        ClusterWatch {
+    pub fn new(config: MonitorConfig, databases: Vec<Name>) -> Self {
+        ClusterMonitor {
             config,
             faults: MonitorFaults::default(),
             databases: databases.into_iter().map(DatabaseState::new).collect(),
@@ -366,17 +366,17 @@
 
     /// Handles an event. `now` must not decrease between calls.
     ///
-    /// [`WatchEvent::CommitFinished`] carries the term that the monitor showed when the statement was
+    /// [`MonitorEvent::CommitFinished`] carries the term that the monitor showed when the statement was
     /// *sent*; the term at the time of the response would let a commit of a replaced primary pass when
     /// the same database was promoted again in between.
-    pub fn handle(&mut self, now: Micros, event: WatchEvent, actions: &mut Vec<WatchAction>) {
+    pub fn handle(&mut self, now: Micros, event: MonitorEvent, actions: &mut Vec<MonitorAction>) {
         self.alive_at.get_or_insert(now);
         let mut timer = false;
         match event {
-            WatchEvent::ReportArrived { database, round, report } => {
+            MonitorEvent::ReportArrived { database, round, report } => {
                 self.handle_report(now, &database, round, report, actions);
             }
-            WatchEvent::ReportFailed { database, round } => {
+            MonitorEvent::ReportFailed { database, round } => {
                 let state = self.databases.iter_mut().find(|state| state.name == database);
                 if let Some(state) = state
                     && state.asked.is_some_and(|(asked, _)| asked == round)
@@ -385,10 +385,10 @@
                     state.retry_at = now + REPORT_RETRY_BACKOFF;
                 }
             }
-            WatchEvent::CommitFinished { commit, term, durable } => {
+            MonitorEvent::CommitFinished { commit, term, durable } => {
                 let early = u64::from(!self.faults.early_round);
                 if term < self.term {
-                    actions.push(WatchAction::OutcomeUnknown { commit });
+                    actions.push(MonitorAction::OutcomeUnknown { commit });
                 } else {
                     self.commits.push(PendingCommit {
                         commit,
@@ -400,14 +400,14 @@
                     });
                 }
             }
-            WatchEvent::Timer => timer = true,
+            MonitorEvent::Timer => timer = true,
         }
         self.expire(now, actions);
         self.begin_round(now, actions);
         self.check_suspicion(now, timer, actions);
     }
 
-    /// Returns when the next [`WatchEvent::Timer`] is due.
+    /// Returns when the next [`MonitorEvent::Timer`] is due.
     pub fn next_timer(&self) -> Option<Micros> {
         let Some(alive_at) = self.alive_at else {
             return Some(Micros::ZERO);
@@ -556,7 +556,7 @@
         database: &str,
         number: u64,
         report: DatabaseReport,
-        actions: &mut Vec<WatchAction>,
+        actions: &mut Vec<MonitorAction>,
     ) {
         let Some(state) = self.databases.iter_mut().find(|state| &*state.name == database) else {
             return;
@@ -592,12 +592,12 @@
             && let Some(state) = self.databases.iter_mut().find(|state| state.name == name)
         {
             state.asked = Some((self.last_round, now));
-            actions.push(WatchAction::AskReport { database: name, round: self.last_round });
+            actions.push(MonitorAction::AskReport { database: name, round: self.last_round });
         }
     }
 
     /// Confirms a round whose reports suffice, and acknowledges the commits that it covers.
-    fn evaluate_round(&mut self, now: Micros, number: u64, actions: &mut Vec<WatchAction>) {
+    fn evaluate_round(&mut self, now: Micros, number: u64, actions: &mut Vec<MonitorAction>) {
         let majority = if self.faults.no_majority { 1 } else { self.majority() };
         let Some(index) = self.rounds.iter().position(|round| round.number == number) else {
             return;
@@ -626,7 +626,7 @@
         &mut self,
         leader: &Name,
         primary: &DatabaseReport,
-        actions: &mut Vec<WatchAction>,
+        actions: &mut Vec<MonitorAction>,
     ) {
         let term = primary.term;
         if term > self.term || self.leader.is_none() {
@@ -634,11 +634,11 @@
             self.leader = Some(leader.clone());
             self.confirmed = None;
             self.samples.clear();
-            actions.push(WatchAction::LeaderChanged { term, leader: leader.clone() });
+            actions.push(MonitorAction::LeaderChanged { term, leader: leader.clone() });
             self.commits.retain(|pending| {
                 let keep = pending.term >= term;
                 if !keep {
-                    actions.push(WatchAction::OutcomeUnknown { commit: pending.commit });
+                    actions.push(MonitorAction::OutcomeUnknown { commit: pending.commit });
                 }
                 keep
             });
@@ -652,7 +652,7 @@
         &mut self,
         index: usize,
         position: LogPosition,
-        actions: &mut Vec<WatchAction>,
+        actions: &mut Vec<MonitorAction>,
     ) {
         if self.commits.is_empty() {
             return;
@@ -682,7 +682,7 @@
                 return true;
             }
             let floor = SessionFloor { term, position: needed };
-            actions.push(WatchAction::Acknowledge { commit: pending.commit, floor });
+            actions.push(MonitorAction::Acknowledge { commit: pending.commit, floor });
             false
         });
     }
@@ -726,7 +726,7 @@
     }
 
     /// Abandons requests and commits that timed out, and rounds without a request in flight.
-    fn expire(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+    fn expire(&mut self, now: Micros, actions: &mut Vec<MonitorAction>) {
         for state in &mut self.databases {
             if let Some((_, sent)) = state.asked
                 && now >= sent + self.config.report_timeout
@@ -737,7 +737,7 @@
         let timeout = self.config.acknowledge_timeout;
         let expired = self.commits.partition_point(|pending| now >= pending.finished + timeout);
         for pending in self.commits.drain(..expired) {
-            actions.push(WatchAction::OutcomeUnknown { commit: pending.commit });
+            actions.push(MonitorAction::OutcomeUnknown { commit: pending.commit });
         }
         let (databases, current) = (&self.databases, self.last_round);
         self.rounds.retain(|round| {
@@ -785,7 +785,7 @@
     }
 
     /// Begins a round if one is due and a database is free to be asked.
-    fn begin_round(&mut self, now: Micros, actions: &mut Vec<WatchAction>) {
+    fn begin_round(&mut self, now: Micros, actions: &mut Vec<MonitorAction>) {
         let idle = now >= self.idle_due();
         let commit = self.commit_due().is_some_and(|due| now >= due)
             && self.commit_ready_at().is_some_and(|ready| now >= ready);
@@ -804,7 +804,7 @@
             if state.is_free(now) {
                 state.asked = Some((number, now));
                 let database = state.name.clone();
-                actions.push(WatchAction::AskReport { database, round: number });
+                actions.push(MonitorAction::AskReport { database, round: number });
             }
         }
         let (databases, current) = (&self.databases, self.last_round);
@@ -816,14 +816,14 @@
         });
     }
 
-    fn check_suspicion(&mut self, now: Micros, timer: bool, actions: &mut Vec<WatchAction>) {
+    fn check_suspicion(&mut self, now: Micros, timer: bool, actions: &mut Vec<MonitorAction>) {
         let alive_at = self.alive_at.unwrap_or(now);
         let suspected = now >= alive_at + self.config.suspect_after;
         if suspected && (timer || !self.suspected) {
-            actions.push(WatchAction::PrimarySuspected { term: self.highest_reported });
+            actions.push(MonitorAction::PrimarySuspected { term: self.highest_reported });
         }
         if self.suspected && !suspected {
-            actions.push(WatchAction::SuspicionCleared);
+            actions.push(MonitorAction::SuspicionCleared);
         }
         self.suspected = suspected;
     }
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -119,7 +119,7 @@
     /// The cluster monitor confirmed a leader.
     LeaderConfirmed { term: Term, leader: Name },
     /// A database reported to the cluster monitor. Must be sent for every
-    /// [`crate::WatchEvent::ReportArrived`].
+    /// [`crate::MonitorEvent::ReportArrived`].
     ReportSeen { database: Name, report: DatabaseReport },
     /// Time passed.
     Timer,
--- a/crates/failover/tests/monitor.rs
+++ b/crates/failover/tests/monitor.rs
@@ -1,13 +1,13 @@
 //! Report rounds, required positions and samples of a cluster monitor.
 
 use failover::{
-    ClusterWatch, CommitId, DatabaseReport, DatabaseRole, FloorState, TermStart, WatchAction,
-    WatchConfig, WatchEvent,
+    ClusterMonitor, CommitId, DatabaseReport, DatabaseRole, FloorState, MonitorAction,
+    MonitorConfig, MonitorEvent, TermStart,
 };
 use model::{LogPosition, Micros, Name, SessionFloor, Term};
 
-fn monitor() -> ClusterWatch {
-    ClusterWatch::new(WatchConfig::default(), ["a", "b", "c"].map(Name::from).to_vec())
+fn monitor() -> ClusterMonitor {
+    ClusterMonitor::new(MonitorConfig::default(), ["a", "b", "c"].map(Name::from).to_vec())
 }
 
 fn report(term: u64, primary: bool, log_term: u64, position: u64, start: u64) -> DatabaseReport {
@@ -22,33 +22,38 @@
     }
 }
 
-fn handle(monitor: &mut ClusterWatch, now: u64, event: WatchEvent) -> Vec<WatchAction> {
+fn handle(monitor: &mut ClusterMonitor, now: u64, event: MonitorEvent) -> Vec<MonitorAction> {
     let mut actions = Vec::new();
     monitor.handle(Micros(now), event, &mut actions);
     actions
 }
 
 fn report_arrives(
-    monitor: &mut ClusterWatch,
+    monitor: &mut ClusterMonitor,
     now: u64,
     database: &str,
     round: u64,
     report: DatabaseReport,
-) -> Vec<WatchAction> {
-    handle(monitor, now, WatchEvent::ReportArrived { database: database.into(), round, report })
+) -> Vec<MonitorAction> {
+    handle(monitor, now, MonitorEvent::ReportArrived { database: database.into(), round, report })
 }
 
-fn commit(monitor: &mut ClusterWatch, now: u64, commit: u64, durable: bool) -> Vec<WatchAction> {
+fn commit(
+    monitor: &mut ClusterMonitor,
+    now: u64,
+    commit: u64,
+    durable: bool,
+) -> Vec<MonitorAction> {
     let commit = CommitId(commit);
-    handle(monitor, now, WatchEvent::CommitFinished { commit, term: Term(1), durable })
+    handle(monitor, now, MonitorEvent::CommitFinished { commit, term: Term(1), durable })
 }
 
 fn required_position(term: u64, position: u64) -> SessionFloor {
     SessionFloor { term: Term(term), position: LogPosition(position) }
 }
 
-fn ask_report(database: &str, round: u64) -> WatchAction {
-    WatchAction::AskReport { database: database.into(), round }
+fn ask_report(database: &str, round: u64) -> MonitorAction {
+    MonitorAction::AskReport { database: database.into(), round }
 }
 
 // Guards against a frozen database that delays the others, and against a round that acknowledges a
@@ -56,17 +61,17 @@
 #[test]
 fn round_ignores_frozen_databases_and_later_commits() {
     let mut monitor = monitor();
-    handle(&mut monitor, 0, WatchEvent::Timer);
+    handle(&mut monitor, 0, MonitorEvent::Timer);
     // The commit finishes while round 1 is open; round 2 begins once round 1 is confirmed.
     assert_eq!(commit(&mut monitor, 100, 1, false), []);
     report_arrives(&mut monitor, 200, "a", 1, report(1, true, 1, 10, 0));
     let actions = report_arrives(&mut monitor, 300, "b", 1, report(1, false, 1, 10, 0));
-    let leader = WatchAction::LeaderChanged { term: Term(1), leader: "a".into() };
+    let leader = MonitorAction::LeaderChanged { term: Term(1), leader: "a".into() };
     assert_eq!(actions, [leader, ask_report("a", 2), ask_report("b", 2)]);
     report_arrives(&mut monitor, 400, "b", 2, report(1, false, 1, 10, 0));
     let actions = report_arrives(&mut monitor, 500, "a", 2, report(1, true, 1, 12, 0));
     let acknowledged =
-        WatchAction::Acknowledge { commit: CommitId(1), floor: required_position(1, 12) };
+        MonitorAction::Acknowledge { commit: CommitId(1), floor: required_position(1, 12) };
     assert_eq!(actions, [acknowledged]);
     // The late report of round 1 changes nothing; the database joins the current round.
     let late = report_arrives(&mut monitor, 600, "c", 1, report(1, false, 1, 10, 0));
@@ -78,7 +83,7 @@
 #[test]
 fn durable_commit_waits_until_a_majority_received_it() {
     let mut monitor = monitor();
-    handle(&mut monitor, 0, WatchEvent::Timer);
+    handle(&mut monitor, 0, MonitorEvent::Timer);
     report_arrives(&mut monitor, 100, "a", 1, report(1, true, 1, 10, 0));
     report_arrives(&mut monitor, 200, "b", 1, report(1, false, 1, 10, 0));
     report_arrives(&mut monitor, 300, "c", 1, report(1, false, 1, 10, 0));
@@ -86,11 +91,11 @@
     report_arrives(&mut monitor, 500, "a", 2, report(1, true, 1, 20, 0));
     report_arrives(&mut monitor, 600, "b", 2, report(1, false, 1, 19, 0));
     report_arrives(&mut monitor, 700, "c", 2, report(1, false, 1, 18, 0));
-    assert_eq!(handle(&mut monitor, 5_400, WatchEvent::Timer).len(), 3);
+    assert_eq!(handle(&mut monitor, 5_400, MonitorEvent::Timer).len(), 3);
     report_arrives(&mut monitor, 5_500, "a", 3, report(1, true, 1, 40, 0));
     let actions = report_arrives(&mut monitor, 5_600, "b", 3, report(1, false, 1, 20, 0));
     let acknowledged =
-        WatchAction::Acknowledge { commit: CommitId(1), floor: required_position(1, 20) };
+        MonitorAction::Acknowledge { commit: CommitId(1), floor: required_position(1, 20) };
     assert_eq!(actions, [acknowledged]);
 }
 
@@ -99,11 +104,11 @@
 #[test]
 fn required_positions_survive_a_failover() {
     let mut monitor = monitor();
-    handle(&mut monitor, 0, WatchEvent::Timer);
+    handle(&mut monitor, 0, MonitorEvent::Timer);
     report_arrives(&mut monitor, 100, "a", 1, report(1, true, 1, 60, 0));
     report_arrives(&mut monitor, 200, "b", 1, report(1, false, 1, 50, 0));
     report_arrives(&mut monitor, 300, "c", 1, report(1, false, 1, 40, 0));
-    handle(&mut monitor, 250_000, WatchEvent::Timer);
+    handle(&mut monitor, 250_000, MonitorEvent::Timer);
     // The new primary has already written when it first reports.
     report_arrives(&mut monitor, 250_100, "b", 2, report(2, true, 2, 55, 50));
     report_arrives(&mut monitor, 250_200, "c", 2, report(2, false, 1, 50, 0));
@@ -128,7 +133,7 @@
 #[test]
 fn new_owner_does_not_report_a_surviving_write_as_lost() {
     let mut monitor = monitor();
-    handle(&mut monitor, 0, WatchEvent::Timer);
+    handle(&mut monitor, 0, MonitorEvent::Timer);
     // The primary of term 5 has already written; the entries before its start are of term 4.
     report_arrives(&mut monitor, 100, "b", 1, report(5, true, 5, 80, 50));
     report_arrives(&mut monitor, 200, "c", 1, report(5, false, 5, 70, 50));
@@ -156,7 +161,7 @@
         // With one commit per round, each round begins at once.
         commit(&mut monitor, now, round, false);
         now += 2_000;
-        handle(&mut monitor, now, WatchEvent::Timer);
+        handle(&mut monitor, now, MonitorEvent::Timer);
         report_arrives(&mut monitor, now + 1_000, "a", round, report(1, true, 1, round * 10, 0));
         report_arrives(&mut monitor, now + 1_500, "b", round, report(1, false, 1, round * 10, 0));
         report_arrives(
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -64,7 +64,7 @@
 }
 
 struct ModelNode {
-    monitor: ClusterWatch,
+    monitor: ClusterMonitor,
     supervisor: Supervisor,
     paused_until: u64,
     timer_at: u64,
@@ -227,7 +227,7 @@
                 .collect(),
             nodes: (0..NODE_COUNT)
                 .map(|index| {
-                    let mut monitor = ClusterWatch::new(WatchConfig::default(), names.clone());
+                    let mut monitor = ClusterMonitor::new(MonitorConfig::default(), names.clone());
                     monitor.set_faults(options.monitor_faults);
                     let seed = options.seed + index as u64;
                     let mut supervisor = Supervisor::new(name("n", index), names.clone(), seed);
@@ -389,7 +389,7 @@
             Message::Request { node, database, request } => self.serve(node, database, request),
             Message::Report { node, database, round, report, snapshot } => {
                 let event =
-                    WatchEvent::ReportArrived { database: name("d", database), round, report };
+                    MonitorEvent::ReportArrived { database: name("d", database), round, report };
                 let before = self.nodes[node].monitor.report(&name("d", database));
                 self.drive_monitor(node, event);
                 let after = self.nodes[node].monitor.report(&name("d", database));
@@ -405,14 +405,14 @@
             }
             Message::ReportFailed { node, database, round } => {
                 let database = name("d", database);
-                self.drive_monitor(node, WatchEvent::ReportFailed { database, round });
+                self.drive_monitor(node, MonitorEvent::ReportFailed { database, round });
             }
             Message::Supervisor { node, event } => self.drive_supervisor(node, event),
             Message::Written { node, id, label } => {
                 self.responses.insert(id, self.now);
                 let durable = id.is_multiple_of(2);
                 let (commit, term) = (CommitId(id), Term(label));
-                self.drive_monitor(node, WatchEvent::CommitFinished { commit, term, durable });
+                self.drive_monitor(node, MonitorEvent::CommitFinished { commit, term, durable });
             }
             Message::AskView { from, to } => {
                 let view = self.nodes[to].monitor.view(Micros(self.now));
@@ -474,7 +474,7 @@
                 self.nodes[node].timer_at = u64::MAX;
                 let now = Micros(self.now);
                 if self.nodes[node].monitor.next_timer().is_some_and(|at| at <= now) {
-                    self.drive_monitor(node, WatchEvent::Timer);
+                    self.drive_monitor(node, MonitorEvent::Timer);
                 }
                 if self.nodes[node].supervisor.next_timer().is_some_and(|at| at <= now) {
                     self.drive_supervisor(node, SupervisorEvent::Timer);
@@ -632,12 +632,12 @@
         database.applied = applied.max(database.applied.min(own.len()));
     }
 
-    fn drive_monitor(&mut self, node: usize, event: WatchEvent) {
+    fn drive_monitor(&mut self, node: usize, event: MonitorEvent) {
         let mut actions = Vec::new();
         self.nodes[node].monitor.handle(Micros(self.now), event, &mut actions);
         for action in actions {
             match action {
-                WatchAction::AskReport { database, round } => {
+                MonitorAction::AskReport { database, round } => {
                     let index = index_of(&database);
                     let request = Request::Report { round };
                     if self.send(Message::Request { node, database: index, request })
@@ -647,19 +647,19 @@
                         self.push(3_000, message);
                     }
                 }
-                WatchAction::Acknowledge { commit, floor } => {
+                MonitorAction::Acknowledge { commit, floor } => {
                     self.check_acknowledgement(commit.0, floor);
                 }
-                WatchAction::OutcomeUnknown { .. } => self.unknown += 1,
-                WatchAction::LeaderChanged { term, leader } => {
+                MonitorAction::OutcomeUnknown { .. } => self.unknown += 1,
+                MonitorAction::LeaderChanged { term, leader } => {
                     self.confirmed_terms.entry(term.0).or_insert(self.now);
                     self.drive_supervisor(node, SupervisorEvent::LeaderConfirmed { term, leader });
                 }
-                WatchAction::PrimarySuspected { term } => {
+                MonitorAction::PrimarySuspected { term } => {
                     let order = node as u32;
                     self.drive_supervisor(node, SupervisorEvent::PrimarySuspected { term, order });
                 }
-                WatchAction::SuspicionCleared => {
+                MonitorAction::SuspicionCleared => {
                     self.drive_supervisor(node, SupervisorEvent::SuspicionCleared);
                 }
             }
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -2,8 +2,8 @@
 
 use admit::RequestId;
 use failover::{
-    ClusterWatch, CommitId, LeaderView, Supervisor, SupervisorAction, SupervisorEvent, WatchAction,
-    WatchConfig, WatchEvent,
+    ClusterMonitor, CommitId, LeaderView, MonitorAction, MonitorConfig, MonitorEvent, Supervisor,
+    SupervisorAction, SupervisorEvent,
 };
 use member::rank_owners;
 use model::{ClusterConfig, Micros, Name, SocketAddress};
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct ClusterState {
     pub config: ClusterConfig,
-    pub monitor: ClusterWatch,
+    pub monitor: ClusterMonitor,
     pub supervisor: Supervisor,
     /// The last report round that was requested for waiting owner requests: its time and identifier.
     pub requested_round: Option<(Micros, CommitId)>,
@@ -78,7 +78,7 @@
             }
             None => {
                 let seed = self.random.next_u64();
-                let monitor = ClusterWatch::new(WatchConfig::default(), databases.clone());
+                let monitor = ClusterMonitor::new(MonitorConfig::default(), databases.clone());
                 let mut supervisor = Supervisor::new(self.settings.name.clone(), databases, seed);
                 supervisor.set_leaving(leaving_databases(config));
                 let state = ClusterState {
@@ -89,7 +89,7 @@
                 };
                 self.clusters.insert(config.name.clone(), state);
                 // Start the first report round.
-                self.handle_monitor_event(&config.name, WatchEvent::Timer);
+                self.handle_monitor_event(&config.name, MonitorEvent::Timer);
             }
         }
     }
@@ -106,7 +106,7 @@
         rank_owners(&cluster.name, owners)
     }
 
-    pub(crate) fn handle_monitor_event(&mut self, cluster: &Name, event: WatchEvent) {
+    pub(crate) fn handle_monitor_event(&mut self, cluster: &Name, event: MonitorEvent) {
         let Some(state) = self.clusters.get_mut(cluster) else { return };
         let mut actions = Vec::new();
         state.monitor.handle(self.now, event, &mut actions);
@@ -115,17 +115,17 @@
         }
     }
 
-    fn run_monitor_action(&mut self, cluster: &Name, action: WatchAction) {
+    fn run_monitor_action(&mut self, cluster: &Name, action: MonitorAction) {
         match action {
-            WatchAction::AskReport { database, round } => {
+            MonitorAction::AskReport { database, round } => {
                 let purpose = ReportPurpose::Round(round);
                 self.send_report_request(cluster, &database, purpose, |id, database, address| {
                     NodeAction::AskReport { id, database, address }
                 });
             }
-            WatchAction::Acknowledge { commit, floor } => self.commit_acknowledged(commit, floor),
-            WatchAction::OutcomeUnknown { commit } => self.commit_unconfirmed(commit),
-            WatchAction::LeaderChanged { term, leader } => {
+            MonitorAction::Acknowledge { commit, floor } => self.commit_acknowledged(commit, floor),
+            MonitorAction::OutcomeUnknown { commit } => self.commit_unconfirmed(commit),
+            MonitorAction::LeaderChanged { term, leader } => {
                 let text = format!("cluster {cluster} is led by {leader} in term {term}");
                 self.log(LogLevel::Info, text);
                 self.count("leaders.changed", 1);
@@ -134,7 +134,7 @@
                 let event = SupervisorEvent::LeaderConfirmed { term, leader };
                 self.handle_supervisor_event(cluster, event);
             }
-            WatchAction::PrimarySuspected { term } => {
+            MonitorAction::PrimarySuspected { term } => {
                 let Some(state) = self.clusters.get(cluster) else { return };
                 let supervisors = self.supervisors(&state.config);
                 let place = supervisors.iter().position(|node| *node == self.settings.name);
@@ -144,7 +144,7 @@
                     self.handle_supervisor_event(cluster, event);
                 }
             }
-            WatchAction::SuspicionCleared => {
+            MonitorAction::SuspicionCleared => {
                 self.handle_supervisor_event(cluster, SupervisorEvent::SuspicionCleared);
             }
         }
@@ -277,7 +277,7 @@
             let database = pending.database.clone();
             self.handle_monitor_event(
                 &pending.cluster,
-                WatchEvent::ReportArrived { database, round, report },
+                MonitorEvent::ReportArrived { database, round, report },
             );
             // The supervisor orders databases that lag behind the confirmed term to follow.
             let event = SupervisorEvent::ReportSeen { database: pending.database, report };
@@ -309,7 +309,7 @@
             ReportPurpose::Round(round) => {
                 self.handle_monitor_event(
                     &pending.cluster,
-                    WatchEvent::ReportFailed { database, round },
+                    MonitorEvent::ReportFailed { database, round },
                 );
             }
             ReportPurpose::Fence | ReportPurpose::Promote => {
@@ -355,7 +355,7 @@
         for name in names {
             let due = |next: Option<Micros>| next.is_some_and(|next| next <= now);
             if self.clusters.get(&name).is_some_and(|state| due(state.monitor.next_timer())) {
-                self.handle_monitor_event(&name, WatchEvent::Timer);
+                self.handle_monitor_event(&name, MonitorEvent::Timer);
             }
             if self.clusters.get(&name).is_some_and(|state| due(state.supervisor.next_timer())) {
                 self.handle_supervisor_event(&name, SupervisorEvent::Timer);
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use admit::{ConnectionId, RequestId};
 use bytes::Bytes;
-use failover::{CommitId, WatchEvent};
+use failover::{CommitId, MonitorEvent};
 use model::{Name, SessionFloor, Term};
 
 use crate::Node;
@@ -226,7 +226,7 @@
         let cluster = self.owner.services.get(&database).map(|service| service.cluster.clone());
         match cluster.filter(|cluster| self.clusters.contains_key(cluster)) {
             Some(cluster) => {
-                let event = WatchEvent::CommitFinished { commit, term, durable };
+                let event = MonitorEvent::CommitFinished { commit, term, durable };
                 self.handle_monitor_event(&cluster, event);
             }
             None => self.commit_unconfirmed(commit),
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -1,6 +1,6 @@
 //! Proofs of leadership and data age, checked before a request is sent and before its answer is relayed.
 
-use failover::{ClusterWatch, CommitId, FloorState, WatchEvent};
+use failover::{ClusterMonitor, CommitId, FloorState, MonitorEvent};
 use model::{Micros, Name, Term};
 
 use crate::Node;
@@ -117,7 +117,7 @@
         if let Some(state) = self.clusters.get_mut(&cluster) {
             state.requested_round = Some((self.now, commit));
         }
-        let event = WatchEvent::CommitFinished { commit, term, durable: false };
+        let event = MonitorEvent::CommitFinished { commit, term, durable: false };
         self.handle_monitor_event(&cluster, event);
     }
 
@@ -184,7 +184,7 @@
 /// and its leadership proof is recent enough.
 fn check_read(
     request: &mut OwnerRequest,
-    monitor: &ClusterWatch,
+    monitor: &ClusterMonitor,
     now: Micros,
     primary: bool,
 ) -> ProofCheck {
