--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -9,8 +9,8 @@
 
 pub use model::DatabaseRole;
 pub use monitor::{
-    ClusterMonitor, CommitId, DatabaseReport, FloorState, LeaderView, MonitorAction, MonitorConfig,
-    MonitorEvent, MonitorFaults, TermStart,
+    ClusterMonitor, CommitId, DatabaseReport, LeaderView, MonitorAction, MonitorConfig,
+    MonitorEvent, MonitorFaults, RequiredPositionState, TermStart,
 };
 pub use supervisor::{
     LeaderRecord, RecordState, Supervisor, SupervisorAction, SupervisorEvent, SupervisorFaults,
--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -53,7 +53,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use model::{DatabaseRole, LogPosition, Micros, Name, SessionFloor, Term};
+use model::{DatabaseRole, LogPosition, Micros, Name, RequiredPosition, Term};
 
 /// Identifies a commit that waits for its acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -118,8 +118,8 @@
 pub enum MonitorAction {
     /// Send a report request.
     AskReport { database: Name, round: u64 },
-    /// The commit may be acknowledged; `floor` is the position that covers it.
-    Acknowledge { commit: CommitId, floor: SessionFloor },
+    /// The commit may be acknowledged; a database that applied `required_position` holds it.
+    Acknowledge { commit: CommitId, required_position: RequiredPosition },
     /// The outcome of the commit is unknown.
     OutcomeUnknown { commit: CommitId },
     /// A round confirmed a new term and its leader.
@@ -132,16 +132,16 @@
 
 /// Whether a database holds the position that a session requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FloorState {
+pub enum RequiredPositionState {
     /// The database has applied the position.
     Met,
     /// Not yet, or not known.
     NotYet,
-    /// The write was lost in a failover; `instead` replaces the required position.
-    Lost { instead: SessionFloor },
-    /// The monitor does not know whether the write survived several failovers. `instead` covers it if
-    /// it did.
-    Uncertain { instead: SessionFloor },
+    /// The write was lost in a failover; `replacement` is the required position from now on.
+    Lost { replacement: RequiredPosition },
+    /// The monitor does not know whether the write survived several failovers. `replacement` covers
+    /// it if it did.
+    Uncertain { replacement: RequiredPosition },
 }
 
 /// An owner's view of the leader, sent to other supervisors on request.
@@ -463,36 +463,40 @@
     /// Compares a database with a required position. A position of a term above the confirmed one is
     /// `NotYet`; if a round that began after the position was presented confirms a lower term, it is
     /// of another cluster, because terms do not decrease at a majority.
-    pub fn floor_state(&self, database: &str, required: SessionFloor) -> FloorState {
+    pub fn required_position_state(
+        &self,
+        database: &str,
+        required: RequiredPosition,
+    ) -> RequiredPositionState {
         if required.term > self.term || self.leader.is_none() {
-            return FloorState::NotYet;
+            return RequiredPositionState::NotYet;
         }
-        let instead = self.term_floor();
+        let replacement = self.term_start_position();
         match self.log_survival(required) {
             LogSurvival::Survived => {}
-            LogSurvival::Lost => return FloorState::Lost { instead },
-            LogSurvival::Unknown => return FloorState::Uncertain { instead },
+            LogSurvival::Lost => return RequiredPositionState::Lost { replacement },
+            LogSurvival::Unknown => return RequiredPositionState::Uncertain { replacement },
         }
         match self.report(database) {
             Some((_, report))
                 if self.is_on_primary_log(&report) && report.applied >= required.position =>
             {
-                FloorState::Met
+                RequiredPositionState::Met
             }
-            _ => FloorState::NotYet,
+            _ => RequiredPositionState::NotYet,
         }
     }
 
     /// Returns the start of the confirmed term, which replaces a required position that was lost.
-    pub fn term_floor(&self) -> SessionFloor {
+    pub fn term_start_position(&self) -> RequiredPosition {
         let start = self.terms.get(&self.term).map_or(LogPosition(0), |start| start.start);
-        SessionFloor { term: self.term, position: start }
+        RequiredPosition { term: self.term, position: start }
     }
 
     /// Returns the position of the last confirmed round if it began at or after `since`.
-    pub fn confirmed_floor(&self, since: Micros) -> Option<SessionFloor> {
+    pub fn confirmed_position(&self, since: Micros) -> Option<RequiredPosition> {
         let (began, position) = self.confirmed?;
-        (began >= since).then_some(SessionFloor { term: self.term, position })
+        (began >= since).then_some(RequiredPosition { term: self.term, position })
     }
 
     /// Returns the number of samples kept for age proofs, for the state dump.
@@ -522,7 +526,7 @@
     }
 
     /// Whether the log up to a required position is part of the log of `self.term`.
-    fn log_survival(&self, required: SessionFloor) -> LogSurvival {
+    fn log_survival(&self, required: RequiredPosition) -> LogSurvival {
         if self.faults.ignore_lineage {
             return LogSurvival::Survived;
         }
@@ -681,8 +685,8 @@
             if pending.durable && !(majority_known && majority_received >= needed) {
                 return true;
             }
-            let floor = SessionFloor { term, position: needed };
-            actions.push(MonitorAction::Acknowledge { commit: pending.commit, floor });
+            let required_position = RequiredPosition { term, position: needed };
+            actions.push(MonitorAction::Acknowledge { commit: pending.commit, required_position });
             false
         });
     }
--- a/crates/failover/tests/monitor.rs
+++ b/crates/failover/tests/monitor.rs
@@ -1,10 +1,10 @@
 //! Report rounds, required positions and samples of a cluster monitor.
 
 use failover::{
-    ClusterMonitor, CommitId, DatabaseReport, DatabaseRole, FloorState, MonitorAction,
-    MonitorConfig, MonitorEvent, TermStart,
+    ClusterMonitor, CommitId, DatabaseReport, DatabaseRole, MonitorAction, MonitorConfig,
+    MonitorEvent, RequiredPositionState, TermStart,
 };
-use model::{LogPosition, Micros, Name, SessionFloor, Term};
+use model::{LogPosition, Micros, Name, RequiredPosition, Term};
 
 fn monitor() -> ClusterMonitor {
     ClusterMonitor::new(MonitorConfig::default(), ["a", "b", "c"].map(Name::from).to_vec())
@@ -48,8 +48,8 @@
     handle(monitor, now, MonitorEvent::CommitFinished { commit, term: Term(1), durable })
 }
 
-fn required_position(term: u64, position: u64) -> SessionFloor {
-    SessionFloor { term: Term(term), position: LogPosition(position) }
+fn required_position(term: u64, position: u64) -> RequiredPosition {
+    RequiredPosition { term: Term(term), position: LogPosition(position) }
 }
 
 fn ask_report(database: &str, round: u64) -> MonitorAction {
@@ -70,8 +70,10 @@
     assert_eq!(actions, [leader, ask_report("a", 2), ask_report("b", 2)]);
     report_arrives(&mut monitor, 400, "b", 2, report(1, false, 1, 10, 0));
     let actions = report_arrives(&mut monitor, 500, "a", 2, report(1, true, 1, 12, 0));
-    let acknowledged =
-        MonitorAction::Acknowledge { commit: CommitId(1), floor: required_position(1, 12) };
+    let acknowledged = MonitorAction::Acknowledge {
+        commit: CommitId(1),
+        required_position: required_position(1, 12),
+    };
     assert_eq!(actions, [acknowledged]);
     // The late report of round 1 changes nothing; the database joins the current round.
     let late = report_arrives(&mut monitor, 600, "c", 1, report(1, false, 1, 10, 0));
@@ -94,8 +96,10 @@
     assert_eq!(handle(&mut monitor, 5_400, MonitorEvent::Timer).len(), 3);
     report_arrives(&mut monitor, 5_500, "a", 3, report(1, true, 1, 40, 0));
     let actions = report_arrives(&mut monitor, 5_600, "b", 3, report(1, false, 1, 20, 0));
-    let acknowledged =
-        MonitorAction::Acknowledge { commit: CommitId(1), floor: required_position(1, 20) };
+    let acknowledged = MonitorAction::Acknowledge {
+        commit: CommitId(1),
+        required_position: required_position(1, 20),
+    };
     assert_eq!(actions, [acknowledged]);
 }
 
@@ -112,20 +116,32 @@
     // The new primary has already written when it first reports.
     report_arrives(&mut monitor, 250_100, "b", 2, report(2, true, 2, 55, 50));
     report_arrives(&mut monitor, 250_200, "c", 2, report(2, false, 1, 50, 0));
-    assert_eq!(monitor.floor_state("c", required_position(1, 45)), FloorState::Met);
-    assert_eq!(monitor.floor_state("c", required_position(2, 53)), FloorState::NotYet);
-    assert_eq!(monitor.floor_state("a", required_position(1, 45)), FloorState::NotYet);
-    let lost = FloorState::Lost { instead: required_position(2, 50) };
-    assert_eq!(monitor.floor_state("b", required_position(1, 51)), lost);
+    assert_eq!(
+        monitor.required_position_state("c", required_position(1, 45)),
+        RequiredPositionState::Met
+    );
+    assert_eq!(
+        monitor.required_position_state("c", required_position(2, 53)),
+        RequiredPositionState::NotYet
+    );
+    assert_eq!(
+        monitor.required_position_state("a", required_position(1, 45)),
+        RequiredPositionState::NotYet
+    );
+    let lost = RequiredPositionState::Lost { replacement: required_position(2, 50) };
+    assert_eq!(monitor.required_position_state("b", required_position(1, 51)), lost);
     let start = TermStart { start: LogPosition(10), previous_term: Term(0) };
     monitor.learn_term(Term(1), start);
     assert_eq!(
-        monitor.floor_state("b", required_position(0, 5)),
+        monitor.required_position_state("b", required_position(0, 5)),
         lost,
         "the start seen in reports stands"
     );
     // The start of a term without entries is a position of the term before.
-    assert_eq!(monitor.floor_state("b", required_position(2, 50)), FloorState::Met);
+    assert_eq!(
+        monitor.required_position_state("b", required_position(2, 50)),
+        RequiredPositionState::Met
+    );
 }
 
 // Guards against an owner that knows only the newest term and reports a write as lost that survived,
@@ -137,18 +153,36 @@
     // The primary of term 5 has already written; the entries before its start are of term 4.
     report_arrives(&mut monitor, 100, "b", 1, report(5, true, 5, 80, 50));
     report_arrives(&mut monitor, 200, "c", 1, report(5, false, 5, 70, 50));
-    let instead = required_position(5, 50);
-    assert_eq!(monitor.floor_state("c", required_position(4, 50)), FloorState::Met);
-    assert_eq!(monitor.floor_state("c", required_position(4, 51)), FloorState::Lost { instead });
-    assert_eq!(monitor.floor_state("c", required_position(3, 51)), FloorState::Lost { instead });
+    let replacement = required_position(5, 50);
+    assert_eq!(
+        monitor.required_position_state("c", required_position(4, 50)),
+        RequiredPositionState::Met
+    );
     assert_eq!(
-        monitor.floor_state("c", required_position(3, 40)),
-        FloorState::Uncertain { instead }
+        monitor.required_position_state("c", required_position(4, 51)),
+        RequiredPositionState::Lost { replacement }
+    );
+    assert_eq!(
+        monitor.required_position_state("c", required_position(3, 51)),
+        RequiredPositionState::Lost { replacement }
+    );
+    assert_eq!(
+        monitor.required_position_state("c", required_position(3, 40)),
+        RequiredPositionState::Uncertain { replacement }
     );
     monitor.learn_term(Term(4), TermStart { start: LogPosition(40), previous_term: Term(2) });
-    assert_eq!(monitor.floor_state("c", required_position(3, 40)), FloorState::Lost { instead });
-    assert_eq!(monitor.floor_state("c", required_position(2, 40)), FloorState::Met);
-    assert_eq!(monitor.floor_state("c", required_position(2, 41)), FloorState::Lost { instead });
+    assert_eq!(
+        monitor.required_position_state("c", required_position(3, 40)),
+        RequiredPositionState::Lost { replacement }
+    );
+    assert_eq!(
+        monitor.required_position_state("c", required_position(2, 40)),
+        RequiredPositionState::Met
+    );
+    assert_eq!(
+        monitor.required_position_state("c", required_position(2, 41)),
+        RequiredPositionState::Lost { replacement }
+    );
 }
 
 // Guards against samples whose number grows without bound, and against proved ages that are far too
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 use failover::*;
-use model::{LogPosition, Micros, Name, SessionFloor, Term};
+use model::{LogPosition, Micros, Name, RequiredPosition, Term};
 
 pub const NODE_COUNT: usize = 3;
 
@@ -170,7 +170,7 @@
     /// Arrival of the response, by commit.
     responses: HashMap<u64, u64>,
     durable: Vec<LogEntry>,
-    required_positions: Vec<(SessionFloor, LogEntry)>,
+    required_positions: Vec<(RequiredPosition, LogEntry)>,
     pub violation: Option<String>,
     pub acknowledged: usize,
     pub unknown: usize,
@@ -647,8 +647,8 @@
                         self.push(3_000, message);
                     }
                 }
-                MonitorAction::Acknowledge { commit, floor } => {
-                    self.check_acknowledgement(commit.0, floor);
+                MonitorAction::Acknowledge { commit, required_position } => {
+                    self.check_acknowledgement(commit.0, required_position);
                 }
                 MonitorAction::OutcomeUnknown { .. } => self.unknown += 1,
                 MonitorAction::LeaderChanged { term, leader } => {
@@ -713,7 +713,7 @@
         }
     }
 
-    fn check_acknowledgement(&mut self, id: u64, required: SessionFloor) {
+    fn check_acknowledgement(&mut self, id: u64, required: RequiredPosition) {
         self.acknowledged += 1;
         let response = self.responses[&id];
         let entry = self.commits[&id];
@@ -752,7 +752,7 @@
 
     /// Whether the log of `term` has the entry at a required position. The position may be past the
     /// write, because it is the primary's at a later round.
-    fn is_position_kept(&self, required: SessionFloor, term: u64) -> bool {
+    fn is_position_kept(&self, required: RequiredPosition, term: u64) -> bool {
         let at = required.position.0 as usize - 1;
         let entry = |term: u64| self.terms[&term].log.get(at).map(|(entry, _)| *entry);
         entry(required.term.0).is_some() && entry(required.term.0) == entry(term)
@@ -800,23 +800,25 @@
                 let back = self.random(count) as usize;
                 let (required, entry) =
                     self.required_positions[self.required_positions.len() - 1 - back];
-                match self.nodes[node].monitor.floor_state(&database, required) {
-                    FloorState::Met if !self.has_entry(held, &entry) => {
+                match self.nodes[node].monitor.required_position_state(&database, required) {
+                    RequiredPositionState::Met if !self.has_entry(held, &entry) => {
                         self.record_violation(format!(
                             "required position {required:?} met at {database} without {entry:?}"
                         ));
                         return;
                     }
-                    FloorState::Met => self.met += 1,
-                    FloorState::Lost { .. } if self.is_position_kept(required, monitor_term) => {
+                    RequiredPositionState::Met => self.met += 1,
+                    RequiredPositionState::Lost { .. }
+                        if self.is_position_kept(required, monitor_term) =>
+                    {
                         self.record_violation(format!(
                             "required position {required:?} reported as lost in term {monitor_term}"
                         ));
                         return;
                     }
-                    FloorState::Lost { .. } => self.reported_lost += 1,
-                    FloorState::Uncertain { .. } => self.uncertain += 1,
-                    FloorState::NotYet => {}
+                    RequiredPositionState::Lost { .. } => self.reported_lost += 1,
+                    RequiredPositionState::Uncertain { .. } => self.uncertain += 1,
+                    RequiredPositionState::NotYet => {}
                 }
             }
         }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -21,7 +21,7 @@
 pub use label::{LabelError, LabelSelector, LabelSet, MatchOperator, MatchRule};
 pub use map::{FastMap, FastSet};
 pub use name::Name;
-pub use position::{LogPosition, SessionFloor, Term};
+pub use position::{LogPosition, RequiredPosition, Term};
 pub use random::SeededRandom;
 pub use rank::{Rank, RankMap};
 pub use role::DatabaseRole;
--- a/crates/model/src/position.rs
+++ b/crates/model/src/position.rs
@@ -42,7 +42,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct SessionFloor {
+pub struct RequiredPosition {
     pub term: Term,
     pub position: LogPosition,
 }
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -123,7 +123,9 @@
                     NodeAction::AskReport { id, database, address }
                 });
             }
-            MonitorAction::Acknowledge { commit, floor } => self.commit_acknowledged(commit, floor),
+            MonitorAction::Acknowledge { commit, required_position } => {
+                self.commit_acknowledged(commit, required_position)
+            }
             MonitorAction::OutcomeUnknown { commit } => self.commit_unconfirmed(commit),
             MonitorAction::LeaderChanged { term, leader } => {
                 let text = format!("cluster {cluster} is led by {leader} in term {term}");
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -32,11 +32,11 @@
         let database = attempt.database.clone();
         let cluster = session.cluster.clone();
         match reply {
-            WorkReply::Done { transaction, floor, lost, age, wait } => {
+            WorkReply::Done { transaction, required_position, replacement_position, age, wait } => {
                 let led = !request.read;
-                session.update_required_position(floor, lost);
+                session.update_required_position(required_position, replacement_position);
                 self.entry.hints.update_status(now, &database, age, wait);
-                if lost.is_some() {
+                if replacement_position.is_some() {
                     self.count("writes.lost", 1);
                 }
                 if led {
@@ -45,13 +45,13 @@
                 self.update_transaction(id, &attempt, transaction, lane);
                 self.finish_request(id, None, Bytes::new());
             }
-            WorkReply::Recorded { command_tag, error, transaction, floor } => {
+            WorkReply::Recorded { command_tag, error, transaction, required_position } => {
                 let answer = match &command_tag {
                     Some(tag) => proxy_answer(&request.request, ProxyAnswer::Complete { tag }),
                     None => Bytes::new(),
                 };
-                if let Some(floor) = floor {
-                    session.raise_required_position(floor);
+                if let Some(required) = required_position {
+                    session.raise_required_position(required);
                 }
                 self.update_transaction(id, &attempt, transaction, lane);
                 self.finish_request(id, error, answer);
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -121,10 +121,10 @@
     ) {
         let now = self.now;
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let floor = session.required_position();
+        let required_position = session.required_position();
         let Some(request) = session.request.as_mut() else { return };
-        let arrived_ago =
-            (floor.is_none() && !session.has_token).then(|| now.saturating_sub(session.arrived));
+        let session_age = (required_position.is_none() && !session.has_token)
+            .then(|| now.saturating_sub(session.arrived));
         let needs_primary = request.policy.max_age == Micros::ZERO || request.primary_only;
         let routed = Box::new(WorkRequest {
             database: database.clone(),
@@ -137,8 +137,8 @@
             commits: request.commits,
             durable: request.policy.durable,
             max_age: (request.read && !needs_primary).then_some(request.policy.max_age),
-            floor,
-            arrived_ago: arrived_ago.filter(|_| request.read && !in_transaction),
+            required_position,
+            session_age: session_age.filter(|_| request.read && !in_transaction),
             request_key: request.key.clone(),
             user: session.user.clone(),
             request: request.request.clone(),
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -3,7 +3,7 @@
 use admit::{ConnectionId, RequestId};
 use bytes::Bytes;
 use failover::{CommitId, MonitorEvent};
-use model::{Name, SessionFloor, Term};
+use model::{Name, RequiredPosition, Term};
 
 use crate::Node;
 use crate::action::{NodeAction, RelayMode};
@@ -154,12 +154,14 @@
         &mut self,
         id: RequestId,
         transaction: TransactionState,
-        floor: Option<SessionFloor>,
+        required_position: Option<RequiredPosition>,
     ) {
         let Some(request) = self.owner.requests.get(&id) else { return };
-        let (lost, floor) = (request.replacement_position, floor.or(request.sampled_position));
+        let (replacement_position, required_position) =
+            (request.replacement_position, required_position.or(request.sampled_position));
         let (age, wait) = self.age_and_wait(id);
-        let reply = WorkReply::Done { transaction, floor, lost, age, wait };
+        let reply =
+            WorkReply::Done { transaction, required_position, replacement_position, age, wait };
         self.reply_owner_request(id, reply);
     }
 
@@ -234,7 +236,11 @@
     }
 
     /// Handles a commit or a report round that the cluster monitor acknowledged.
-    pub(crate) fn commit_acknowledged(&mut self, commit: CommitId, floor: SessionFloor) {
+    pub(crate) fn commit_acknowledged(
+        &mut self,
+        commit: CommitId,
+        required_position: RequiredPosition,
+    ) {
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
                 let Some(request) = self.owner.requests.get_mut(&id) else { return };
@@ -250,10 +256,14 @@
                             command_tag: Some(tag),
                             error: None,
                             transaction: TransactionState::Idle,
-                            floor: Some(floor),
+                            required_position: Some(required_position),
                         },
                     ),
-                    None => self.complete_owner_request(id, TransactionState::Idle, Some(floor)),
+                    None => self.complete_owner_request(
+                        id,
+                        TransactionState::Idle,
+                        Some(required_position),
+                    ),
                 }
             }
             Some(CommitPurpose::Round(requests)) => {
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -296,7 +296,7 @@
             command_tag: None,
             error: Some(error),
             transaction: state,
-            floor: None,
+            required_position: None,
         };
         self.reply_owner_request(id, reply);
     }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -14,7 +14,7 @@
 use admit::{ConnectionId, ConnectionPool, PoolConfig, QueueConfig, RequestId, SlotQueue};
 use failover::CommitId;
 use model::{
-    ClusterConfig, DatabaseConfig, FastMap, FastSet, Micros, Name, Rank, SessionFloor, Term,
+    ClusterConfig, DatabaseConfig, FastMap, FastSet, Micros, Name, Rank, RequiredPosition, Term,
 };
 
 use crate::Node;
@@ -103,9 +103,9 @@
     pub term: Term,
     pub proof: Option<ReadProof>,
     /// Required position sampled for a session without a token.
-    pub sampled_position: Option<SessionFloor>,
+    pub sampled_position: Option<RequiredPosition>,
     /// Set if the required position was lost or is uncertain: the position to use instead.
-    pub replacement_position: Option<SessionFloor>,
+    pub replacement_position: Option<RequiredPosition>,
     /// Report rounds that the request has waited for.
     pub rounds_awaited: u32,
     pub cancel_sent: bool,
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -1,6 +1,6 @@
 //! Proofs of leadership and data age, checked before a request is sent and before its answer is relayed.
 
-use failover::{ClusterMonitor, CommitId, FloorState, MonitorEvent};
+use failover::{ClusterMonitor, CommitId, MonitorEvent, RequiredPositionState};
 use model::{Micros, Name, Term};
 
 use crate::Node;
@@ -190,31 +190,35 @@
 ) -> ProofCheck {
     let term = monitor.view(now).term;
     let database = request.routed.database.clone();
-    if request.routed.floor.is_none()
+    if request.routed.required_position.is_none()
         && request.sampled_position.is_none()
-        && let Some(ago) = request.routed.arrived_ago
+        && let Some(session_age) = request.routed.session_age
     {
-        let since = request.arrived.saturating_sub(ago);
-        request.sampled_position = monitor.confirmed_floor(since);
+        let since = request.arrived.saturating_sub(session_age);
+        request.sampled_position = monitor.confirmed_position(since);
         if request.sampled_position.is_none() {
             return wait_for_round_or_decline(request);
         }
     }
-    if let Some(floor) =
-        request.replacement_position.or(request.routed.floor).or(request.sampled_position)
+    if let Some(required_position) = request
+        .replacement_position
+        .or(request.routed.required_position)
+        .or(request.sampled_position)
     {
-        let mut state = monitor.floor_state(&database, floor);
+        let mut state = monitor.required_position_state(&database, required_position);
         // Terms never decrease, so a confirmed round in a lower term shows that the cluster was rebuilt
         // or that the required position belongs to another cluster.
-        if floor.term > term && monitor.confirmed_floor(request.arrived).is_some() {
-            state = FloorState::Lost { instead: monitor.term_floor() };
+        if required_position.term > term && monitor.confirmed_position(request.arrived).is_some() {
+            state = RequiredPositionState::Lost { replacement: monitor.term_start_position() };
         }
-        if let FloorState::Lost { instead } | FloorState::Uncertain { instead } = state {
-            request.replacement_position = Some(instead);
-            state = monitor.floor_state(&database, instead);
+        if let RequiredPositionState::Lost { replacement }
+        | RequiredPositionState::Uncertain { replacement } = state
+        {
+            request.replacement_position = Some(replacement);
+            state = monitor.required_position_state(&database, replacement);
         }
         match state {
-            FloorState::Met => {}
+            RequiredPositionState::Met => {}
             _ if primary => return wait_for_round_or_decline(request),
             _ => return ProofCheck::Decline(DeclineReason::NoProof),
         }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use model::{LabelSet, Micros, Name, Rank, SessionFloor};
+use model::{LabelSet, Micros, Name, Rank, RequiredPosition};
 
 /// The start-up message of a client.
 #[derive(Clone, Debug, PartialEq)]
@@ -83,9 +83,9 @@
     pub durable: bool,
     /// Accepted data age; `None` if the read needs the primary.
     pub max_age: Option<Micros>,
-    pub floor: Option<SessionFloor>,
+    pub required_position: Option<RequiredPosition>,
     /// Time since the session opened, if it has neither a token nor a required position.
-    pub arrived_ago: Option<Micros>,
+    pub session_age: Option<Micros>,
     pub request_key: Option<Name>,
     pub user: Name,
     pub request: CallerRequest,
@@ -124,9 +124,9 @@
     Done {
         transaction: TransactionState,
         /// Set after an acknowledged write.
-        floor: Option<SessionFloor>,
+        required_position: Option<RequiredPosition>,
         /// Set if a write of the session was lost in a failover: the required position to use instead.
-        lost: Option<SessionFloor>,
+        replacement_position: Option<RequiredPosition>,
         /// Data age that the owner can prove now; a hint for routing.
         age: Option<Micros>,
         /// Expected wait for a slot; a hint for routing.
@@ -140,7 +140,7 @@
         error: Option<ErrorReply>,
         transaction: TransactionState,
         /// Required position that covers the recorded write.
-        floor: Option<SessionFloor>,
+        required_position: Option<RequiredPosition>,
     },
     /// Nothing was sent to the backend server.
     Declined { reason: DeclineReason, age: Option<Micros>, wait: Micros },
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use model::{LabelSet, Micros, Name, SessionFloor};
+use model::{LabelSet, Micros, Name, RequiredPosition};
 use route::{SessionCommand, SessionToken, WorkPolicy};
 use serde_json::Value;
 
@@ -78,15 +78,15 @@
 }
 
 impl Session {
-    pub(crate) fn required_position(&self) -> Option<SessionFloor> {
-        self.token.floors.get(&self.cluster).copied()
+    pub(crate) fn required_position(&self) -> Option<RequiredPosition> {
+        self.token.required_positions.get(&self.cluster).copied()
     }
 
     /// Raises the required position for the session's cluster; a lower position is ignored.
-    pub(crate) fn raise_required_position(&mut self, floor: SessionFloor) {
-        let held = self.token.floors.entry(self.cluster.clone()).or_default();
-        if floor > *held {
-            *held = floor;
+    pub(crate) fn raise_required_position(&mut self, required: RequiredPosition) {
+        let current = self.token.required_positions.entry(self.cluster.clone()).or_default();
+        if required > *current {
+            *current = required;
             self.token_changed = true;
         }
     }
@@ -94,16 +94,16 @@
     /// Applies the required position of a reply. A lost write lowers it and adds a notice for the client.
     pub(crate) fn update_required_position(
         &mut self,
-        floor: Option<SessionFloor>,
-        lost: Option<SessionFloor>,
+        required_position: Option<RequiredPosition>,
+        replacement_position: Option<RequiredPosition>,
     ) {
-        if let Some(instead) = lost {
-            self.token.floors.insert(self.cluster.clone(), instead);
+        if let Some(replacement) = replacement_position {
+            self.token.required_positions.insert(self.cluster.clone(), replacement);
             self.token_changed = true;
-            self.notices.push(lost_write_notice(instead));
+            self.notices.push(lost_write_notice(replacement));
         }
-        if let Some(floor) = floor {
-            self.raise_required_position(floor);
+        if let Some(required) = required_position {
+            self.raise_required_position(required);
         }
     }
 
@@ -130,13 +130,13 @@
     ErrorReply { code: code.into(), message: message.into() }
 }
 
-fn lost_write_notice(instead: SessionFloor) -> ErrorReply {
+fn lost_write_notice(replacement: RequiredPosition) -> ErrorReply {
     error(
         "01000",
         format!(
             "a write of this session may have been lost in a failover; reads now start \
              at term {} position {}",
-            instead.term, instead.position
+            replacement.term, replacement.position
         ),
     )
 }
@@ -287,9 +287,9 @@
             "cicadawick.token" => match SessionToken::verify(value, &self.fleet.keys) {
                 Ok(token) => {
                     session.has_token = true;
-                    for (cluster, floor) in token.floors {
-                        let held = session.token.floors.entry(cluster).or_default();
-                        *held = floor.max(*held);
+                    for (cluster, required) in token.required_positions {
+                        let current = session.token.required_positions.entry(cluster).or_default();
+                        *current = required.max(*current);
                     }
                 }
                 Err(reason) => {
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -624,9 +624,10 @@
 fn a_required_position_of_an_unknown_term_counts_as_lost() {
     let mut driver = Driver::start(3);
     let keys = route::TokenKeys(vec![route::TokenKey { id: 1, secret: [1; 32] }]);
-    let floor = model::SessionFloor { term: model::Term(99), position: model::LogPosition(5) };
-    let floors = [("billing".into(), floor)].into();
-    let token = route::SessionToken { floors }.sign(&keys).unwrap();
+    let required_position =
+        model::RequiredPosition { term: model::Term(99), position: model::LogPosition(5) };
+    let required_positions = [("billing".into(), required_position)].into();
+    let token = route::SessionToken { required_positions }.sign(&keys).unwrap();
     for node in 0..3 {
         let session = driver.open(node, "phone", &[("cicadawick.token", &token)]);
         let start = driver.now;
@@ -635,7 +636,7 @@
         let wait = finish.at.saturating_sub(start);
         assert!(wait < millis(300), "the read waited {wait}");
         let verified = route::SessionToken::verify(&finish.token.unwrap(), &keys).unwrap();
-        assert_eq!(verified.floors["billing"].term, model::Term(1));
+        assert_eq!(verified.required_positions["billing"].term, model::Term(1));
         assert!(driver.query(node, session, "select 2").notices.is_empty());
     }
 }
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -1,6 +1,6 @@
 //! Selectors of the configuration and the choice of a database.
 
-use model::{FleetConfig, LabelSelector, LabelSet, Micros, Name, Rank, SessionFloor};
+use model::{FleetConfig, LabelSelector, LabelSet, Micros, Name, Rank, RequiredPosition};
 
 /// How a request is served.
 #[derive(Clone, Debug, PartialEq)]
@@ -133,7 +133,7 @@
 pub fn choose_database(
     policy: &WorkPolicy,
     read: bool,
-    required: Option<SessionFloor>,
+    required: Option<RequiredPosition>,
     own_data_centre: &Name,
     hints: &[DatabaseHint],
 ) -> Option<RouteChoice> {
--- a/crates/route/src/token.rs
+++ b/crates/route/src/token.rs
@@ -9,7 +9,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use hmac::{Hmac, KeyInit, Mac};
-use model::{LogPosition, Name, SessionFloor, Term};
+use model::{LogPosition, Name, RequiredPosition, Term};
 use sha2::Sha256;
 
 /// A secret that tokens are signed with.
@@ -27,7 +27,7 @@
 /// client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionToken {
-    pub floors: BTreeMap<Name, SessionFloor>,
+    pub required_positions: BTreeMap<Name, RequiredPosition>,
 }
 
 /// Why a token is treated as absent.
@@ -71,7 +71,7 @@
     pub fn sign(&self, keys: &TokenKeys) -> Option<String> {
         let key = keys.0.last()?;
         let positions: Vec<_> = self
-            .floors
+            .required_positions
             .iter()
             .filter(|(name, _)| name.len() <= MAX_NAME_BYTES)
             .take(MAX_POSITIONS)
@@ -131,11 +131,11 @@
         let (term, rest) = rest.split_first_chunk::<8>()?;
         let (position, rest) = rest.split_first_chunk::<8>()?;
         let name = std::str::from_utf8(name).ok()?;
-        let required = SessionFloor {
+        let required = RequiredPosition {
             term: Term(u64::from_be_bytes(*term)),
             position: LogPosition(u64::from_be_bytes(*position)),
         };
-        token.floors.insert(name.into(), required);
+        token.required_positions.insert(name.into(), required);
         bytes = rest;
     }
     bytes.is_empty().then_some(token)
--- a/crates/route/tests/token.rs
+++ b/crates/route/tests/token.rs
@@ -1,7 +1,7 @@
 //! Session tokens. Guards against clients that forge a required position or crash the proxy with a
 //! token.
 
-use model::{LogPosition, SessionFloor, Term};
+use model::{LogPosition, RequiredPosition, Term};
 use proptest::prelude::*;
 use route::{SessionToken, TokenError, TokenKey, TokenKeys};
 
@@ -12,11 +12,11 @@
 fn tokens() -> impl Strategy<Value = SessionToken> {
     prop::collection::btree_map("[a-z0-9-]{1,63}", (any::<u64>(), any::<u64>()), 0..32).prop_map(
         |positions| SessionToken {
-            floors: positions
+            required_positions: positions
                 .into_iter()
                 .map(|(name, (term, position))| {
                     let required =
-                        SessionFloor { term: Term(term), position: LogPosition(position) };
+                        RequiredPosition { term: Term(term), position: LogPosition(position) };
                     (name.into(), required)
                 })
                 .collect(),
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -6,7 +6,7 @@
 use capnp::Error;
 use failover::LeaderView;
 use member::{Heartbeat, MemberInfo, MemberState};
-use model::{LabelSet, LogPosition, Micros, Name, Rank, SessionFloor, SocketAddress, Term};
+use model::{LabelSet, LogPosition, Micros, Name, Rank, RequiredPosition, SocketAddress, Term};
 use node::{
     CallerRequest, DeclineReason, ErrorReply, RequestKind, TransactionState, WorkReply, WorkRequest,
 };
@@ -134,13 +134,13 @@
     })
 }
 
-fn write_required_position(mut builder: wire::floor::Builder<'_>, required: SessionFloor) {
+fn write_required_position(mut builder: wire::floor::Builder<'_>, required: RequiredPosition) {
     builder.set_term(required.term.0);
     builder.set_position(required.position.0);
 }
 
-fn read_required_position(reader: wire::floor::Reader<'_>) -> SessionFloor {
-    SessionFloor { term: Term(reader.get_term()), position: LogPosition(reader.get_position()) }
+fn read_required_position(reader: wire::floor::Reader<'_>) -> RequiredPosition {
+    RequiredPosition { term: Term(reader.get_term()), position: LogPosition(reader.get_position()) }
 }
 
 pub(crate) fn write_routed_request(mut builder: wire::work::Builder<'_>, routed: &WorkRequest) {
@@ -163,10 +163,10 @@
     builder.set_commits(routed.commits);
     builder.set_durable(routed.durable);
     write_optional_time(builder.reborrow().init_max_age(), routed.max_age);
-    if let Some(floor) = routed.floor {
-        write_required_position(builder.reborrow().init_floor(), floor);
+    if let Some(required) = routed.required_position {
+        write_required_position(builder.reborrow().init_floor(), required);
     }
-    write_optional_time(builder.reborrow().init_arrived_ago(), routed.arrived_ago);
+    write_optional_time(builder.reborrow().init_arrived_ago(), routed.session_age);
     if let Some(key) = &routed.request_key {
         builder.set_has_request_key(true);
         builder.set_request_key(key.as_str());
@@ -185,7 +185,7 @@
     for label in reader.get_labels()? {
         labels.0.insert(name(label.get_key()?)?, name(label.get_value()?)?);
     }
-    let floor = match reader.has_floor() {
+    let required_position = match reader.has_floor() {
         true => Some(read_required_position(reader.get_floor()?)),
         false => None,
     };
@@ -208,8 +208,8 @@
         commits: reader.get_commits(),
         durable: reader.get_durable(),
         max_age: read_optional_time(reader.get_max_age()?)?,
-        floor,
-        arrived_ago: read_optional_time(reader.get_arrived_ago()?)?,
+        required_position,
+        session_age: read_optional_time(reader.get_arrived_ago()?)?,
         request_key,
         user: name(reader.get_user()?)?,
         request: CallerRequest {
@@ -269,14 +269,14 @@
 
 pub(crate) fn write_reply(mut builder: wire::reply::Builder<'_>, reply: &WorkReply) {
     match reply {
-        WorkReply::Done { transaction, floor, lost, age, wait } => {
+        WorkReply::Done { transaction, required_position, replacement_position, age, wait } => {
             let mut done = builder.init_done();
             done.set_transaction(write_transaction_state(*transaction));
-            if let Some(floor) = floor {
-                write_required_position(done.reborrow().init_floor(), *floor);
+            if let Some(required) = required_position {
+                write_required_position(done.reborrow().init_floor(), *required);
             }
-            if let Some(lost) = lost {
-                write_required_position(done.reborrow().init_lost(), *lost);
+            if let Some(replacement) = replacement_position {
+                write_required_position(done.reborrow().init_lost(), *replacement);
             }
             done.set_wait(wait.0);
             write_optional_time(done.init_age(), *age);
@@ -287,7 +287,7 @@
             declined.set_wait(wait.0);
             write_optional_time(declined.init_age(), *age);
         }
-        WorkReply::Recorded { command_tag, error, transaction, floor } => {
+        WorkReply::Recorded { command_tag, error, transaction, required_position } => {
             let mut recorded = builder.init_recorded();
             if let Some(tag) = command_tag {
                 recorded.set_command_tag(tag);
@@ -298,8 +298,8 @@
                 error.set_message(message);
             }
             recorded.set_transaction(write_transaction_state(*transaction));
-            if let Some(floor) = floor {
-                write_required_position(recorded.init_floor(), *floor);
+            if let Some(required) = required_position {
+                write_required_position(recorded.init_floor(), *required);
             }
         }
         WorkReply::RolledBack { message } => builder.set_rolled_back(message),
@@ -316,11 +316,11 @@
     Ok(match reader.which()? {
         wire::reply::Done(done) => WorkReply::Done {
             transaction: read_transaction_state(done.get_transaction()?),
-            floor: match done.has_floor() {
+            required_position: match done.has_floor() {
                 true => Some(read_required_position(done.get_floor()?)),
                 false => None,
             },
-            lost: match done.has_lost() {
+            replacement_position: match done.has_lost() {
                 true => Some(read_required_position(done.get_lost()?)),
                 false => None,
             },
@@ -346,7 +346,7 @@
                 false => None,
             },
             transaction: read_transaction_state(recorded.get_transaction()?),
-            floor: match recorded.has_floor() {
+            required_position: match recorded.has_floor() {
                 true => Some(read_required_position(recorded.get_floor()?)),
                 false => None,
             },
--- a/crates/rpc/tests/peers.rs
+++ b/crates/rpc/tests/peers.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use futures::channel::mpsc::UnboundedSender;
 use member::{Heartbeat, MemberInfo, MemberState};
-use model::{LabelSet, LogPosition, Micros, Rank, SessionFloor, Term};
+use model::{LabelSet, LogPosition, Micros, Rank, RequiredPosition, Term};
 use node::{CallId, CallerRequest, LaneId, RequestKind, TransactionState, WorkReply, WorkRequest};
 use rpc::{
     AnswerPart, CallIds, ChunkPermit, ForwardReply, PeerCallError, PeerClients, PeerRequest,
@@ -97,8 +97,8 @@
         commits: true,
         durable: true,
         max_age: Some(Micros::from_secs(2)),
-        floor: Some(SessionFloor { term: Term(3), position: LogPosition(77) }),
-        arrived_ago: None,
+        required_position: Some(RequiredPosition { term: Term(3), position: LogPosition(77) }),
+        session_age: None,
         request_key: Some("k1".into()),
         user: "vendor".into(),
         request: CallerRequest {
@@ -112,8 +112,8 @@
 fn done_reply() -> WorkReply {
     WorkReply::Done {
         transaction: TransactionState::Open,
-        floor: None,
-        lost: Some(SessionFloor { term: Term(2), position: LogPosition(5) }),
+        required_position: None,
+        replacement_position: Some(RequiredPosition { term: Term(2), position: LogPosition(5) }),
         age: None,
         wait: Micros(12),
     }
