--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -306,7 +306,7 @@
                 let event = NodeEvent::DocumentArrived { document, revision, bytes: bytes.into() };
                 self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
-            NodeAction::AskReport { id, database, .. } => {
+            NodeAction::RequestReport { id, database, .. } => {
                 let found = self.databases.get(&database).copied();
                 let event = match found.filter(|found| !found.down) {
                     Some(found) => NodeEvent::ReportArrived { id, report: found.report() },
@@ -315,7 +315,7 @@
                 self.count_exchange("reports", self.wire.report_request, self.wire.report_answer);
                 self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
-            NodeAction::AskFence { id, database, term, .. } => {
+            NodeAction::RequestFence { id, database, term, .. } => {
                 self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 let event = match self.databases.get_mut(&database).filter(|found| !found.down) {
                     Some(found) => {
@@ -329,7 +329,7 @@
                 };
                 self.schedule(NETWORK_DELAY, ScheduledEvent::Node(event));
             }
-            NodeAction::AskPromote { id, database, term, .. } => {
+            NodeAction::RequestPromotion { id, database, term, .. } => {
                 self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 if let Some(found) = self.databases.get_mut(&database) {
                     (found.primary, found.log_term, found.term_start) = (true, term.0, 1_000);
@@ -340,7 +340,7 @@
                     ScheduledEvent::Node(NodeEvent::PromoteAnswered { id, start }),
                 );
             }
-            NodeAction::AskFollow { id, database, term: Term(term), .. } => {
+            NodeAction::RequestFollow { id, database, term: Term(term), .. } => {
                 self.count_exchange("promotion", self.wire.report_request, self.wire.report_answer);
                 match self.databases.get_mut(&database).filter(|found| !found.down) {
                     Some(found) => found.log_term = term,
@@ -350,7 +350,7 @@
                     ),
                 }
             }
-            NodeAction::AskView { to, cluster } => {
+            NodeAction::RequestView { to, cluster } => {
                 self.count_exchange("promotion", self.wire.call + 100, self.wire.answer + 100);
                 let view = Some(LeaderView {
                     term: Term(1),
@@ -640,7 +640,7 @@
             monitor.handle(now, MonitorEvent::Timer, &mut actions);
         }
         for action in actions {
-            if let MonitorAction::AskReport { database, round } = action {
+            if let MonitorAction::RequestReport { database, round } = action {
                 request_count += u64::from(now >= start);
                 sequence += 1;
                 answers.insert((now + NETWORK_DELAY + NETWORK_DELAY, sequence), (database, round));
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -197,7 +197,7 @@
         let now = Micros(1 + turn as u64 * 250_000);
         monitor.handle(now, MonitorEvent::Timer, &mut actions);
         for action in std::mem::take(&mut actions) {
-            let MonitorAction::AskReport { database, round } = action else { continue };
+            let MonitorAction::RequestReport { database, round } = action else { continue };
             let primary = database == databases[0];
             let report = DatabaseReport {
                 term: Term(1),
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -347,16 +347,16 @@
             }
             NodeAction::Relay { run } => self.apply_relay_decision(cx, run, true),
             NodeAction::Discard { run } => self.apply_relay_decision(cx, run, false),
-            NodeAction::AskReport { id, database, address } => {
+            NodeAction::RequestReport { id, database, address } => {
                 self.query_database(cx, id, database, address, ReportRequest::Report);
             }
-            NodeAction::AskFence { id, database, address, term, by } => {
+            NodeAction::RequestFence { id, database, address, term, by } => {
                 self.query_database(cx, id, database, address, ReportRequest::Fence { term, by });
             }
-            NodeAction::AskPromote { id, database, address, term } => {
+            NodeAction::RequestPromotion { id, database, address, term } => {
                 self.query_database(cx, id, database, address, ReportRequest::Promote { term });
             }
-            NodeAction::AskFollow { id, database, address, term, leader } => {
+            NodeAction::RequestFollow { id, database, address, term, leader } => {
                 self.query_database(
                     cx,
                     id,
@@ -368,7 +368,7 @@
             NodeAction::SendHeartbeat { .. }
             | NodeAction::PullTable { .. }
             | NodeAction::PullDocument { .. }
-            | NodeAction::AskView { .. }
+            | NodeAction::RequestView { .. }
             | NodeAction::Forward { .. }
             | NodeAction::CancelForward { .. }
             | NodeAction::AnswerForward { .. }
--- a/crates/daemon/src/driver/peers.rs
+++ b/crates/daemon/src/driver/peers.rs
@@ -77,7 +77,7 @@
                 });
                 self.peer_clients.pull_document(cx, from.peer_address, &name, PULL_TIMEOUT, done);
             }
-            NodeAction::AskView { to, cluster } => {
+            NodeAction::RequestView { to, cluster } => {
                 let name = cluster.clone();
                 let from = to.name;
                 let done = event_on_reply(driver, move |view: Result<Option<_>, _>| {
--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MonitorAction {
     /// Send a report request.
-    AskReport { database: Name, round: u64 },
+    RequestReport { database: Name, round: u64 },
     /// The commit may be acknowledged; a database that applied `required_position` holds it.
     Acknowledge { commit: CommitId, required_position: RequiredPosition },
     /// The outcome of the commit is unknown.
@@ -596,7 +596,7 @@
             && let Some(state) = self.databases.iter_mut().find(|state| state.name == name)
         {
             state.asked = Some((self.last_round, now));
-            actions.push(MonitorAction::AskReport { database: name, round: self.last_round });
+            actions.push(MonitorAction::RequestReport { database: name, round: self.last_round });
         }
     }
 
@@ -808,7 +808,7 @@
             if state.is_free(now) {
                 state.asked = Some((number, now));
                 let database = state.name.clone();
-                actions.push(MonitorAction::AskReport { database, round: number });
+                actions.push(MonitorAction::RequestReport { database, round: number });
             }
         }
         let (databases, current) = (&self.databases, self.last_round);
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -128,7 +128,7 @@
 /// Action that the driver executes for the supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SupervisorAction {
-    AskViews,
+    RequestViews,
     ReadRecord,
     WriteRecord { expected_index: u64, record: LeaderRecord },
     Fence { database: Name, term: Term, by: Name },
@@ -193,7 +193,7 @@
 /// let mut actions = Vec::new();
 /// let event = SupervisorEvent::PrimarySuspected { term: Term(4), order: 0 };
 /// supervisor.handle(Micros(1), event, &mut actions);
-/// assert_eq!(actions, [SupervisorAction::AskViews]);
+/// assert_eq!(actions, [SupervisorAction::RequestViews]);
 /// assert_eq!(supervisor.step(), "views");
 /// ```
 #[derive(Debug)]
@@ -420,7 +420,7 @@
             PromotionStep::Waiting { until } if now >= *until => {
                 self.answered_owners.clear();
                 self.step = PromotionStep::Views { until: now + VIEW_TIMEOUT };
-                actions.push(SupervisorAction::AskViews);
+                actions.push(SupervisorAction::RequestViews);
             }
             PromotionStep::Views { until } if now >= *until => self.begin_record_read(now, actions),
             PromotionStep::RecordRead { until } | PromotionStep::RecordWrite { until }
@@ -436,7 +436,7 @@
                 if self.suspected {
                     self.answered_owners.clear();
                     self.step = PromotionStep::Views { until: now + VIEW_TIMEOUT };
-                    actions.push(SupervisorAction::AskViews);
+                    actions.push(SupervisorAction::RequestViews);
                 } else {
                     self.step = PromotionStep::Idle;
                 }
--- a/crates/failover/tests/monitor.rs
+++ b/crates/failover/tests/monitor.rs
@@ -53,7 +53,7 @@
 }
 
 fn ask_report(database: &str, round: u64) -> MonitorAction {
-    MonitorAction::AskReport { database: database.into(), round }
+    MonitorAction::RequestReport { database: database.into(), round }
 }
 
 // Guards against a frozen database that delays the others, and against a round that acknowledges a
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -109,7 +109,7 @@
         id: u64,
         label: u64,
     },
-    AskView {
+    RequestView {
         from: usize,
         to: usize,
     },
@@ -358,7 +358,7 @@
             | Message::ReportFailed { node, .. }
             | Message::Supervisor { node, .. }
             | Message::Written { node, .. }
-            | Message::AskView { to: node, .. }
+            | Message::RequestView { to: node, .. }
             | Message::BeginSwitchover { node }
             | Message::Timer { node } => Some(*node),
             _ => None,
@@ -414,7 +414,7 @@
                 let (commit, term) = (CommitId(id), Term(label));
                 self.drive_monitor(node, MonitorEvent::CommitFinished { commit, term, durable });
             }
-            Message::AskView { from, to } => {
+            Message::RequestView { from, to } => {
                 let view = self.nodes[to].monitor.view(Micros(self.now));
                 let event = SupervisorEvent::ViewArrived { from: name("n", to), view: Some(view) };
                 self.send(Message::Supervisor { node: from, event });
@@ -637,7 +637,7 @@
         self.nodes[node].monitor.handle(Micros(self.now), event, &mut actions);
         for action in actions {
             match action {
-                MonitorAction::AskReport { database, round } => {
+                MonitorAction::RequestReport { database, round } => {
                     let index = index_of(&database);
                     let request = Request::Report { round };
                     if self.send(Message::Request { node, database: index, request })
@@ -672,9 +672,9 @@
         self.nodes[node].supervisor.handle(Micros(self.now), event, &mut actions);
         for action in actions {
             let (database, request) = match action {
-                SupervisorAction::AskViews => {
+                SupervisorAction::RequestViews => {
                     for to in (0..NODE_COUNT).filter(|to| *to != node) {
-                        self.send(Message::AskView { from: node, to });
+                        self.send(Message::RequestView { from: node, to });
                     }
                     continue;
                 }
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -92,25 +92,25 @@
     },
 
     // Report connections: the I/O driver opens them on demand, one for each database.
-    AskReport {
+    RequestReport {
         id: ReportId,
         database: Name,
         address: SocketAddress,
     },
-    AskFence {
+    RequestFence {
         id: ReportId,
         database: Name,
         address: SocketAddress,
         term: Term,
         by: Name,
     },
-    AskPromote {
+    RequestPromotion {
         id: ReportId,
         database: Name,
         address: SocketAddress,
         term: Term,
     },
-    AskFollow {
+    RequestFollow {
         id: ReportId,
         database: Name,
         address: SocketAddress,
@@ -130,7 +130,7 @@
         from: MemberInfo,
         document: Name,
     },
-    AskView {
+    RequestView {
         to: MemberInfo,
         cluster: Name,
     },
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -117,10 +117,10 @@
 
     fn run_monitor_action(&mut self, cluster: &Name, action: MonitorAction) {
         match action {
-            MonitorAction::AskReport { database, round } => {
+            MonitorAction::RequestReport { database, round } => {
                 let purpose = ReportPurpose::Round(round);
                 self.send_report_request(cluster, &database, purpose, |id, database, address| {
-                    NodeAction::AskReport { id, database, address }
+                    NodeAction::RequestReport { id, database, address }
                 });
             }
             MonitorAction::Acknowledge { commit, required_position } => {
@@ -210,7 +210,7 @@
 
     fn run_supervisor_action(&mut self, cluster: &Name, action: SupervisorAction) {
         match action {
-            SupervisorAction::AskViews => {
+            SupervisorAction::RequestViews => {
                 let Some(state) = self.clusters.get(cluster) else { return };
                 for name in self.supervisors(&state.config) {
                     if name == self.settings.name {
@@ -218,7 +218,7 @@
                     }
                     match self.members.member(&name).cloned() {
                         Some(to) => {
-                            self.emit(NodeAction::AskView { to, cluster: cluster.clone() });
+                            self.emit(NodeAction::RequestView { to, cluster: cluster.clone() });
                         }
                         None => {
                             let event = SupervisorEvent::ViewArrived { from: name, view: None };
@@ -240,7 +240,13 @@
                     cluster,
                     &database,
                     ReportPurpose::Fence,
-                    |id, database, at| NodeAction::AskFence { id, database, address: at, term, by },
+                    |id, database, at| NodeAction::RequestFence {
+                        id,
+                        database,
+                        address: at,
+                        term,
+                        by,
+                    },
                 );
             }
             SupervisorAction::Promote { database, term } => {
@@ -253,7 +259,12 @@
                     cluster,
                     &database,
                     ReportPurpose::Promote,
-                    |id, database, at| NodeAction::AskPromote { id, database, address: at, term },
+                    |id, database, at| NodeAction::RequestPromotion {
+                        id,
+                        database,
+                        address: at,
+                        term,
+                    },
                 );
             }
             SupervisorAction::Follow { database, term, leader } => {
@@ -261,7 +272,7 @@
                     cluster,
                     &database,
                     ReportPurpose::Follow,
-                    |id, database, at| NodeAction::AskFollow {
+                    |id, database, at| NodeAction::RequestFollow {
                         id,
                         database,
                         address: at,
--- a/crates/node/tests/driver/mod.rs
+++ b/crates/node/tests/driver/mod.rs
@@ -423,10 +423,10 @@
                     record.decided = true;
                 }
             }
-            NodeAction::AskReport { ref database, .. }
-            | NodeAction::AskFence { ref database, .. }
-            | NodeAction::AskPromote { ref database, .. }
-            | NodeAction::AskFollow { ref database, .. } => {
+            NodeAction::RequestReport { ref database, .. }
+            | NodeAction::RequestFence { ref database, .. }
+            | NodeAction::RequestPromotion { ref database, .. }
+            | NodeAction::RequestFollow { ref database, .. } => {
                 let database = database.to_string();
                 self.schedule(NETWORK_DELAY, ScheduledItem::Report { node, database, action });
             }
@@ -451,7 +451,7 @@
                     ScheduledItem::Pull { from: node, to, document: Some(document) },
                 );
             }
-            NodeAction::AskView { to, cluster } => {
+            NodeAction::RequestView { to, cluster } => {
                 let to = to.name.to_string();
                 self.schedule(NETWORK_DELAY, ScheduledItem::View { from: node, to, cluster });
             }
@@ -750,10 +750,10 @@
             return;
         }
         let id = match &action {
-            NodeAction::AskReport { id, .. }
-            | NodeAction::AskFence { id, .. }
-            | NodeAction::AskPromote { id, .. }
-            | NodeAction::AskFollow { id, .. } => *id,
+            NodeAction::RequestReport { id, .. }
+            | NodeAction::RequestFence { id, .. }
+            | NodeAction::RequestPromotion { id, .. }
+            | NodeAction::RequestFollow { id, .. } => *id,
             _ => return,
         };
         if database.down {
@@ -761,19 +761,21 @@
         }
         let mut accepted = false;
         match &action {
-            NodeAction::AskFence { term, .. } if term.0 > database.term => {
+            NodeAction::RequestFence { term, .. } if term.0 > database.term => {
                 database.term = term.0;
                 database.primary = false;
                 accepted = true;
             }
-            NodeAction::AskPromote { term, .. } if term.0 == database.term && !database.primary => {
+            NodeAction::RequestPromotion { term, .. }
+                if term.0 == database.term && !database.primary =>
+            {
                 database.primary = true;
                 database.term_start = database.received;
                 database.previous_term = database.log_term;
                 database.log_term = database.term;
                 database.applied = database.received;
             }
-            NodeAction::AskFollow { term, leader, .. } => self.follow(name, term.0, leader),
+            NodeAction::RequestFollow { term, leader, .. } => self.follow(name, term.0, leader),
             _ => {}
         }
         let database = &self.databases[name];
@@ -788,8 +790,8 @@
             previous_term: Term(database.previous_term),
         };
         let event = match action {
-            NodeAction::AskFence { .. } => NodeEvent::FenceAnswered { id, accepted, report },
-            NodeAction::AskPromote { .. } => {
+            NodeAction::RequestFence { .. } => NodeEvent::FenceAnswered { id, accepted, report },
+            NodeAction::RequestPromotion { .. } => {
                 NodeEvent::PromoteAnswered { id, start: report.term_start }
             }
             _ => NodeEvent::ReportArrived { id, report },
