--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -10,7 +10,7 @@
 use admit::ConnectionId;
 use bytes::{Bytes, BytesMut};
 use model::SocketAddress;
-use node::{ErrorReply, RelayMode, RunId, RunSummary, TransactionState};
+use node::{ErrorReply, ExchangeId, ExchangeSummary, RelayMode, TransactionState};
 use pg::{ConnectionStatements, FrameSplitter, kind};
 use rpc::TaskPool;
 use stakker::{Actor, CX, after, call, fwd_to};
@@ -67,13 +67,13 @@
 }
 
 struct ActiveExchange {
-    id: RunId,
+    id: ExchangeId,
     policy: OutputPolicy,
     collect_first_row: bool,
     sink: Option<AnswerSink>,
     held: BytesMut,
     output_started: bool,
-    summary: RunSummary,
+    summary: ExchangeSummary,
     /// Bytes of a large frame that have not been passed on yet.
     large_frame_left: usize,
     /// The backend server started a COPY, which is refused.
@@ -409,7 +409,7 @@
             // If the answer begins with an error, the node decides once the answer is complete.
             let is_error = bytes.first() == Some(&kind::ERROR);
             if active.policy == OutputPolicy::Undecided && !is_error {
-                call!([self.driver, cx], exchange_started(self.id, active.id));
+                call!([self.driver, cx], answer_started(self.id, active.id));
             }
         }
         match active.policy {
@@ -446,14 +446,14 @@
                 self.state = BackendState::Ending(active);
             }
             BackendState::Running(active) | BackendState::Ending(active) => {
-                let ActiveExchange { id: run, sink, held, summary, .. } = *active;
+                let ActiveExchange { id: exchange, sink, held, summary, .. } = *active;
                 let held = match sink {
                     Some(sink) if !held.is_empty() => {
                         Some(HeldAnswer { sink, bytes: held.freeze() })
                     }
                     _ => None,
                 };
-                call!([self.driver, cx], exchange_finished(self.id, run, summary, held));
+                call!([self.driver, cx], exchange_finished(self.id, exchange, summary, held));
                 if self.cancel == CancelState::Failed {
                     self.report_loss(
                         cx,
@@ -470,7 +470,7 @@
     pub(crate) fn start_exchange(
         &mut self,
         cx: CX![],
-        run: RunId,
+        exchange: ExchangeId,
         frames: Bytes,
         mode: RelayMode,
         sink: Option<AnswerSink>,
@@ -487,13 +487,13 @@
             (RelayMode::Stream(_), _) => OutputPolicy::Relay,
         };
         self.state = BackendState::Running(Box::new(ActiveExchange {
-            id: run,
+            id: exchange,
             policy,
             collect_first_row: mode == RelayMode::Collect,
             sink,
             held: BytesMut::new(),
             output_started: false,
-            summary: RunSummary::default(),
+            summary: ExchangeSummary::default(),
             large_frame_left: 0,
             copy_refused: false,
             extended: frames.first() != Some(&kind::QUERY),
@@ -505,12 +505,12 @@
     }
 
     /// Applies the node's decision on the answer of the active exchange.
-    pub(crate) fn apply_relay_decision(&mut self, cx: CX![], run: RunId, relayed: bool) {
+    pub(crate) fn apply_relay_decision(&mut self, cx: CX![], exchange: ExchangeId, relayed: bool) {
         let active = match &mut self.state {
             BackendState::Running(active) | BackendState::Ending(active) => active,
             _ => return,
         };
-        if active.id != run {
+        if active.id != exchange {
             return;
         }
         let held = active.held.split().freeze();
@@ -524,9 +524,9 @@
     }
 
     /// Asks the backend server to cancel the active exchange.
-    pub(crate) fn cancel(&mut self, cx: CX![], run: RunId) {
+    pub(crate) fn cancel(&mut self, cx: CX![], exchange: ExchangeId) {
         let BackendState::Running(active) = &self.state else { return };
-        if active.id != run || self.cancel != CancelState::None {
+        if active.id != exchange || self.cancel != CancelState::None {
             return;
         }
         self.cancel = CancelState::Pending;
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -20,7 +20,9 @@
 use futures::channel::mpsc;
 use member::{MemberInfo, MemberState};
 use model::{FastMap, Micros, Name, NodeSettings, SocketAddress};
-use node::{AnswerTarget, CallId, LaneId, LogLevel, Node, NodeAction, NodeEvent, RunId, SessionId};
+use node::{
+    AnswerTarget, CallId, ExchangeId, LaneId, LogLevel, Node, NodeAction, NodeEvent, SessionId,
+};
 use rpc::{AnswerPart, CallGuard, CallIds, LaneHandle, PeerCallError, PeerClients, TaskPool};
 use stakker::sync::ChannelGuard;
 use stakker::{Actor, ActorOwn, CX, Core, Fwd, actor, after, call, fwd_to, ret_nop};
@@ -131,9 +133,9 @@
     next_session: u64,
     sessions: FastMap<SessionId, SessionEntry>,
     backends: FastMap<ConnectionId, ActorOwn<BackendConnection>>,
-    exchanges: FastMap<RunId, ExchangeEntry>,
-    answer_targets: FastMap<RunId, AnswerTarget>,
-    held_answers: FastMap<RunId, HeldEntry>,
+    exchanges: FastMap<ExchangeId, ExchangeEntry>,
+    answer_targets: FastMap<ExchangeId, AnswerTarget>,
+    held_answers: FastMap<ExchangeId, HeldEntry>,
     report_connections: FastMap<Name, (SocketAddress, ActorOwn<ReportConnection>)>,
     /// Calls from peers that are in progress here.
     peer_calls: FastMap<CallId, mpsc::UnboundedSender<AnswerPart>>,
@@ -336,17 +338,17 @@
                     cx.defer(move |_| drop(backend));
                 }
             }
-            NodeAction::Run { connection, run, frames, mode } => {
-                self.start_exchange(cx, connection, run, frames, mode);
+            NodeAction::StartExchange { connection, exchange, frames, mode } => {
+                self.start_exchange(cx, connection, exchange, frames, mode);
             }
-            NodeAction::CancelRun { connection, run } => {
+            NodeAction::CancelExchange { connection, exchange } => {
                 self.counters.add("runs.cancelled", 1);
                 if let Some(backend) = self.backends.get(&connection) {
-                    call!([backend, cx], cancel(run));
+                    call!([backend, cx], cancel(exchange));
                 }
             }
-            NodeAction::Relay { run } => self.apply_relay_decision(cx, run, true),
-            NodeAction::Discard { run } => self.apply_relay_decision(cx, run, false),
+            NodeAction::Relay { exchange } => self.apply_relay_decision(cx, exchange, true),
+            NodeAction::Discard { exchange } => self.apply_relay_decision(cx, exchange, false),
             NodeAction::RequestReport { id, database, address } => {
                 self.query_database(cx, id, database, address, ReportRequest::Report);
             }
--- a/crates/daemon/src/driver/backends.rs
+++ b/crates/daemon/src/driver/backends.rs
@@ -3,7 +3,7 @@
 use admit::ConnectionId;
 use bytes::Bytes;
 use model::{Name, SocketAddress};
-use node::{AnswerTarget, NodeEvent, RelayMode, ReportId, RunId, RunSummary};
+use node::{AnswerTarget, ExchangeId, ExchangeSummary, NodeEvent, RelayMode, ReportId};
 use rpc::ChunkPermit;
 use stakker::{Actor, CX, actor, call, ret_nop};
 use stakker_mio::mio::net::TcpStream;
@@ -29,7 +29,7 @@
         &mut self,
         cx: CX![],
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
         frames: Bytes,
         mode: RelayMode,
     ) {
@@ -45,23 +45,23 @@
         };
         let sink = target.and_then(|target| self.answer_sink(target));
         if let Some(target) = target {
-            self.answer_targets.insert(run, target);
+            self.answer_targets.insert(exchange, target);
         }
-        self.exchanges.insert(run, ExchangeEntry { connection, relayed: None });
-        call!([backend, cx], start_exchange(run, frames, mode, sink));
+        self.exchanges.insert(exchange, ExchangeEntry { connection, relayed: None });
+        call!([backend, cx], start_exchange(exchange, frames, mode, sink));
     }
 
-    pub(super) fn apply_relay_decision(&mut self, cx: CX![], run: RunId, relayed: bool) {
-        if let Some(HeldEntry { answer, .. }) = self.held_answers.remove(&run) {
+    pub(super) fn apply_relay_decision(&mut self, cx: CX![], exchange: ExchangeId, relayed: bool) {
+        if let Some(HeldEntry { answer, .. }) = self.held_answers.remove(&exchange) {
             if relayed {
                 answer.sink.send(cx, answer.bytes, ChunkPermit::free());
             }
             return;
         }
-        if let Some(entry) = self.exchanges.get_mut(&run) {
+        if let Some(entry) = self.exchanges.get_mut(&exchange) {
             entry.relayed = Some(relayed);
             if let Some(backend) = self.backends.get(&entry.connection) {
-                call!([backend, cx], apply_relay_decision(run, relayed));
+                call!([backend, cx], apply_relay_decision(exchange, relayed));
             }
         }
     }
@@ -74,10 +74,10 @@
 
     pub(super) fn remove_exchanges(&mut self, connection: ConnectionId) {
         let answer_targets = &mut self.answer_targets;
-        self.exchanges.retain(|run, entry| {
+        self.exchanges.retain(|exchange, entry| {
             let keep = entry.connection != connection;
             if !keep {
-                answer_targets.remove(run);
+                answer_targets.remove(exchange);
             }
             keep
         });
@@ -99,16 +99,26 @@
     }
 
     /// Called when the first part of an answer arrives in mode [`RelayMode::Decide`].
-    pub(crate) fn exchange_started(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
-        if self.exchanges.contains_key(&run) {
-            self.node_event(cx, NodeEvent::RunStarted { connection, run });
+    pub(crate) fn answer_started(
+        &mut self,
+        cx: CX![],
+        connection: ConnectionId,
+        exchange: ExchangeId,
+    ) {
+        if self.exchanges.contains_key(&exchange) {
+            self.node_event(cx, NodeEvent::AnswerStarted { connection, exchange });
         }
     }
 
     /// Called when rows of a held answer have been relayed.
-    pub(crate) fn held_rows_relayed(&mut self, cx: CX![], connection: ConnectionId, run: RunId) {
-        if self.exchanges.contains_key(&run) {
-            self.node_event(cx, NodeEvent::HeldRowsRelayed { connection, run });
+    pub(crate) fn held_rows_relayed(
+        &mut self,
+        cx: CX![],
+        connection: ConnectionId,
+        exchange: ExchangeId,
+    ) {
+        if self.exchanges.contains_key(&exchange) {
+            self.node_event(cx, NodeEvent::HeldRowsRelayed { connection, exchange });
         }
     }
 
@@ -117,22 +127,22 @@
         &mut self,
         cx: CX![],
         connection: ConnectionId,
-        run: RunId,
-        summary: RunSummary,
+        exchange: ExchangeId,
+        summary: ExchangeSummary,
         held: Option<HeldAnswer>,
     ) {
-        let Some(entry) = self.exchanges.remove(&run) else { return };
-        let target = self.answer_targets.remove(&run);
+        let Some(entry) = self.exchanges.remove(&exchange) else { return };
+        let target = self.answer_targets.remove(&exchange);
         if let (Some(answer), Some(target)) = (held, target) {
             match entry.relayed {
                 Some(true) => answer.sink.send(cx, answer.bytes, ChunkPermit::free()),
                 Some(false) => {}
                 None => {
-                    self.held_answers.insert(run, HeldEntry { target, answer });
+                    self.held_answers.insert(exchange, HeldEntry { target, answer });
                 }
             }
         }
-        self.node_event(cx, NodeEvent::RunFinished { connection, run, summary });
+        self.node_event(cx, NodeEvent::ExchangeFinished { connection, exchange, summary });
     }
 
     // Report connections.
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -7,7 +7,7 @@
 use member::{Heartbeat, MemberInfo};
 use model::{Name, SocketAddress, Term};
 
-use crate::id::{CallId, LaneId, ReportId, RunId, SessionId};
+use crate::id::{CallId, ExchangeId, LaneId, ReportId, SessionId};
 use crate::request::{ErrorReply, TransactionState, WorkReply, WorkRequest};
 
 /// Where the answer of an exchange goes.
@@ -23,7 +23,7 @@
 pub enum RelayMode {
     /// Keep only the summary.
     Collect,
-    /// Hold the first bytes and send `RunStarted`; `Relay` or `Discard` follows.
+    /// Hold the first bytes and send `AnswerStarted`; `Relay` or `Discard` follows.
     Decide(AnswerTarget),
     /// Hold the answer until `Relay` or `Discard`. Beyond the size limit of held answers, relay rows as
     /// they arrive and hold only each `CommandComplete` and what follows it.
@@ -71,24 +71,24 @@
     CloseBackend {
         connection: ConnectionId,
     },
-    Run {
+    StartExchange {
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
         frames: Bytes,
         mode: RelayMode,
     },
     /// Send a PostgreSQL cancel request for the exchange.
-    CancelRun {
+    CancelExchange {
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
     },
     /// Relay the held part of the exchange's answer, and the rest as it arrives.
     Relay {
-        run: RunId,
+        exchange: ExchangeId,
     },
     /// Discard the held part of the exchange's answer, and the rest.
     Discard {
-        run: RunId,
+        exchange: ExchangeId,
     },
 
     // Report connections: the I/O driver opens them on demand, one for each database.
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -7,8 +7,8 @@
 use member::{Heartbeat, MemberInfo, PlatformVm};
 use model::{LogPosition, Name};
 
-use crate::id::{CallId, LaneId, ReportId, RunId, SessionId};
-use crate::request::{CallerRequest, RunSummary, SessionStart, WorkReply, WorkRequest};
+use crate::id::{CallId, ExchangeId, LaneId, ReportId, SessionId};
+use crate::request::{CallerRequest, ExchangeSummary, SessionStart, WorkReply, WorkRequest};
 
 /// An event. The I/O driver passes events in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,21 +41,21 @@
         message: String,
     },
     /// The first byte of an answer in mode `Decide`. Not sent for an answer that starts with an
-    /// `ErrorResponse`: the I/O driver holds it until `RunFinished` leads to `Relay` or `Discard`.
-    RunStarted {
+    /// `ErrorResponse`: the I/O driver holds it until `ExchangeFinished` leads to `Relay` or `Discard`.
+    AnswerStarted {
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
     },
     /// Rows of a held answer were relayed because they exceed the size limit; only the completion is
     /// still held. Sent before the end of the exchange or the loss of its connection.
     HeldRowsRelayed {
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
     },
-    RunFinished {
+    ExchangeFinished {
         connection: ConnectionId,
-        run: RunId,
-        summary: RunSummary,
+        exchange: ExchangeId,
+        summary: ExchangeSummary,
     },
 
     // Report connections.
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -7,10 +7,10 @@
 
 use crate::Node;
 use crate::action::{NodeAction, RelayMode};
-use crate::id::{LaneId, RunId};
+use crate::id::{ExchangeId, LaneId};
 use crate::owner::{CommitPurpose, PinKey, RequestOrigin, RequestStage, TransactionPin};
 use crate::proof::ProofCheck;
-use crate::request::{DeclineReason, RunSummary, TransactionState, WorkReply};
+use crate::request::{DeclineReason, ExchangeSummary, TransactionState, WorkReply};
 use crate::step::PendingStep;
 
 /// SQLSTATE that a replica returns for a write.
@@ -57,16 +57,16 @@
         connection: ConnectionId,
         frames: Bytes,
         mode: RelayMode,
-    ) -> RunId {
-        let run = RunId(self.next_id());
-        self.owner.exchanges.insert(run, id);
+    ) -> ExchangeId {
+        let exchange = ExchangeId(self.next_id());
+        self.owner.exchanges.insert(exchange, id);
         let decided = matches!(mode, RelayMode::Collect | RelayMode::Stream(_));
         if let Some(request) = self.owner.requests.get_mut(&id) {
-            request.stage = RequestStage::Running { run, decided };
+            request.stage = RequestStage::Running { exchange, decided };
         }
         self.count("runs", 1);
-        self.emit(NodeAction::Run { connection, run, frames, mode });
-        run
+        self.emit(NodeAction::StartExchange { connection, exchange, frames, mode });
+        exchange
     }
 
     /// Returns an idle connection to its pool.
@@ -86,26 +86,26 @@
     pub(crate) fn exchange_finished(
         &mut self,
         connection: ConnectionId,
-        run: RunId,
-        summary: RunSummary,
+        exchange: ExchangeId,
+        summary: ExchangeSummary,
     ) {
-        let Some(id) = self.owner.exchanges.remove(&run) else { return };
+        let Some(id) = self.owner.exchanges.remove(&exchange) else { return };
         let Some(request) = self.owner.requests.get(&id) else { return };
         if request.connection != Some(connection) {
             return;
         }
         if request.key_step.is_some() && request.origin != RequestOrigin::Abandoned {
-            return self.keyed_exchange_finished(id, connection, run, summary);
+            return self.keyed_exchange_finished(id, connection, exchange, summary);
         }
-        self.unkeyed_exchange_finished(id, connection, run, &summary);
+        self.unkeyed_exchange_finished(id, connection, exchange, &summary);
     }
 
     fn unkeyed_exchange_finished(
         &mut self,
         id: RequestId,
         connection: ConnectionId,
-        run: RunId,
-        summary: &RunSummary,
+        exchange: ExchangeId,
+        summary: &ExchangeSummary,
     ) {
         let Some(request) = self.owner.requests.get(&id) else { return };
         if request.origin == RequestOrigin::Abandoned {
@@ -127,12 +127,12 @@
             && read_only
             && self.owner.requests.get(&id).is_some_and(|request| request.pin.is_none())
         {
-            self.emit(NodeAction::Discard { run });
+            self.emit(NodeAction::Discard { exchange });
             return self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
         }
         if let Some(reason) = stale {
             self.count("reads.discarded", 1);
-            self.emit(NodeAction::Discard { run });
+            self.emit(NodeAction::Discard { exchange });
             return self.decline_owner_request(id, reason);
         }
         // COMMIT of a failed transaction returns the tag ROLLBACK and no error.
@@ -141,10 +141,10 @@
             && summary.transaction == TransactionState::Idle
             && summary.command_tag.as_deref() != Some("ROLLBACK");
         if committed {
-            return self.await_acknowledgement(id, Some(run), term, durable);
+            return self.await_acknowledgement(id, Some(exchange), term, durable);
         }
         if undecided {
-            self.emit(NodeAction::Relay { run });
+            self.emit(NodeAction::Relay { exchange });
         }
         self.complete_owner_request(id, summary.transaction, None);
     }
@@ -215,13 +215,13 @@
     pub(crate) fn await_acknowledgement(
         &mut self,
         id: RequestId,
-        run: Option<RunId>,
+        exchange: Option<ExchangeId>,
         term: Term,
         durable: bool,
     ) {
         let commit = CommitId(self.next_id());
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
-        request.stage = RequestStage::Acknowledging { commit, run };
+        request.stage = RequestStage::Acknowledging { commit, exchange };
         let database = request.routed.database.clone();
         self.owner.commits.insert(commit, CommitPurpose::OwnerRequest(id));
         self.arm_owner_request(id, None);
@@ -244,10 +244,10 @@
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
                 let Some(request) = self.owner.requests.get_mut(&id) else { return };
-                let RequestStage::Acknowledging { run, .. } = request.stage else { return };
+                let RequestStage::Acknowledging { exchange, .. } = request.stage else { return };
                 let recorded = request.key_step.take().and_then(|step| step.recorded_tag());
-                if let Some(run) = run {
-                    self.emit(NodeAction::Relay { run });
+                if let Some(exchange) = exchange {
+                    self.emit(NodeAction::Relay { exchange });
                 }
                 match recorded {
                     Some(tag) => self.reply_owner_request(
@@ -285,8 +285,9 @@
         match self.owner.commits.remove(&commit) {
             Some(CommitPurpose::OwnerRequest(id)) => {
                 let Some(request) = self.owner.requests.get(&id) else { return };
-                if let RequestStage::Acknowledging { run: Some(run), .. } = request.stage {
-                    self.emit(NodeAction::Discard { run });
+                if let RequestStage::Acknowledging { exchange: Some(exchange), .. } = request.stage
+                {
+                    self.emit(NodeAction::Discard { exchange });
                 }
                 let message = "the primary could not be confirmed after the commit".to_string();
                 self.reply_owner_request(id, WorkReply::Unknown { message });
@@ -301,8 +302,8 @@
     }
 
     /// Notes that rows of a held answer were relayed.
-    pub(crate) fn held_rows_relayed(&mut self, run: RunId) {
-        let id = self.owner.exchanges.get(&run).copied();
+    pub(crate) fn held_rows_relayed(&mut self, exchange: ExchangeId) {
+        let id = self.owner.exchanges.get(&exchange).copied();
         if let Some(request) = id.and_then(|id| self.owner.requests.get_mut(&id)) {
             request.rows_relayed = true;
         }
@@ -322,11 +323,11 @@
             }
             _ => WorkReply::RolledBack { message },
         };
-        if let RequestStage::Running { run, decided: false } = request.stage {
-            self.emit(NodeAction::Discard { run });
+        if let RequestStage::Running { exchange, decided: false } = request.stage {
+            self.emit(NodeAction::Discard { exchange });
         }
-        if let Some(run) = self.undecided_statement(id) {
-            self.emit(NodeAction::Discard { run });
+        if let Some(exchange) = self.undecided_statement(id) {
+            self.emit(NodeAction::Discard { exchange });
         }
         if let Some(request) = self.owner.requests.get_mut(&id) {
             request.connection = None;
--- a/crates/node/src/id.rs
+++ b/crates/node/src/id.rs
@@ -18,7 +18,7 @@
 );
 identifier!(
     /// One exchange on a connection to a backend server.
-    RunId
+    ExchangeId
 );
 identifier!(
     /// A lane: the ordered channel to a connection that is pinned for a transaction of a peer's session.
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -11,9 +11,9 @@
 use crate::Node;
 use crate::action::{NodeAction, RelayMode};
 use crate::frames::{quote_text, simple_query, statement_hash};
-use crate::id::RunId;
+use crate::id::ExchangeId;
 use crate::owner::RequestStage;
-use crate::request::{DeclineReason, ErrorReply, RunSummary, TransactionState, WorkReply};
+use crate::request::{DeclineReason, ErrorReply, ExchangeSummary, TransactionState, WorkReply};
 
 const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS cicadawick_requests (request_key text, \
     caller text, statement_hash text, outcome text, PRIMARY KEY (request_key, caller))";
@@ -29,7 +29,7 @@
     Statement,
     /// The outcome is being recorded. Outside a client's transaction, the same exchange commits.
     Record {
-        statement: RunId,
+        statement: ExchangeId,
         transaction: TransactionState,
     },
     /// The transaction is being rolled back; `then` follows.
@@ -47,7 +47,7 @@
 pub(crate) enum AfterRollBack {
     Lookup,
     /// Relay the statement's own error.
-    Relay(RunId),
+    Relay(ExchangeId),
     Fail(ErrorReply),
     Decline,
 }
@@ -119,8 +119,8 @@
         &mut self,
         id: RequestId,
         connection: ConnectionId,
-        statement: RunId,
-        summary: &RunSummary,
+        statement: ExchangeId,
+        summary: &ExchangeSummary,
     ) {
         let pinned = self.owner.requests.get(&id).is_some_and(|request| request.pin.is_some());
         let (key, caller, _) = self.key_values(id);
@@ -152,8 +152,8 @@
         &mut self,
         id: RequestId,
         connection: ConnectionId,
-        run: RunId,
-        summary: RunSummary,
+        exchange: ExchangeId,
+        summary: ExchangeSummary,
     ) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         let pinned = request.pin.is_some();
@@ -193,13 +193,13 @@
                 };
                 self.roll_back_key(id, connection, then);
             }
-            (KeyStep::Statement, None) => self.record_outcome(id, connection, run, &summary),
+            (KeyStep::Statement, None) => self.record_outcome(id, connection, exchange, &summary),
             (KeyStep::Statement, Some(_)) if pinned => {
                 self.release_keyed_request(id, connection, state);
                 self.complete_owner_request(id, state, None);
             }
             (KeyStep::Statement, Some(_)) => {
-                self.roll_back_key(id, connection, AfterRollBack::Relay(run));
+                self.roll_back_key(id, connection, AfterRollBack::Relay(exchange));
             }
             (KeyStep::Record { transaction, .. }, None) if pinned => {
                 self.release_keyed_request(id, connection, state);
@@ -211,7 +211,7 @@
             }
             (KeyStep::Record { statement, .. }, Some(error)) => {
                 // The COMMIT failed, for example at a deferred constraint, and nothing was written.
-                self.emit(NodeAction::Discard { run: statement });
+                self.emit(NodeAction::Discard { exchange: statement });
                 self.reply_keyed_error(id, connection, state, error);
             }
             (KeyStep::RollBack { then }, _) => self.key_rolled_back(id, connection, state, then),
@@ -232,9 +232,9 @@
     ) {
         match then {
             AfterRollBack::Lookup => self.look_up_key(id, connection),
-            AfterRollBack::Relay(run) => {
+            AfterRollBack::Relay(exchange) => {
                 self.release_keyed_request(id, connection, state);
-                self.emit(NodeAction::Relay { run });
+                self.emit(NodeAction::Relay { exchange });
                 self.complete_owner_request(id, state, None);
             }
             AfterRollBack::Fail(error) => self.reply_keyed_error(id, connection, state, error),
@@ -245,7 +245,12 @@
         }
     }
 
-    fn key_looked_up(&mut self, id: RequestId, connection: ConnectionId, summary: &RunSummary) {
+    fn key_looked_up(
+        &mut self,
+        id: RequestId,
+        connection: ConnectionId,
+        summary: &ExchangeSummary,
+    ) {
         let (_, _, hash) = self.key_values(id);
         match summary.first_row.as_slice() {
             [outcome, recorded] if recorded.as_deref() == Some(hash.as_str()) => {
@@ -303,14 +308,14 @@
 
     /// Returns the exchange of the statement whose answer is still held during a later step. It has to
     /// be discarded if the request ends early.
-    pub(crate) fn undecided_statement(&self, id: RequestId) -> Option<RunId> {
+    pub(crate) fn undecided_statement(&self, id: RequestId) -> Option<ExchangeId> {
         let request = self.owner.requests.get(&id)?;
         if !matches!(request.stage, RequestStage::Running { .. }) {
             return None;
         }
         match &request.key_step {
             Some(KeyStep::Record { statement, .. }) if request.pin.is_none() => Some(*statement),
-            Some(KeyStep::RollBack { then: AfterRollBack::Relay(run) }) => Some(*run),
+            Some(KeyStep::RollBack { then: AfterRollBack::Relay(exchange) }) => Some(*exchange),
             _ => None,
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -43,9 +43,9 @@
 
 pub use action::{AnswerTarget, LogLevel, NodeAction, RelayMode};
 pub use event::{NodeEvent, OperatorCall, PlatformAnswer};
-pub use id::{CallId, LaneId, ReportId, RunId, SessionId};
+pub use id::{CallId, ExchangeId, LaneId, ReportId, SessionId};
 pub use request::{
-    CallerRequest, DeclineReason, ErrorReply, RequestKind, RunSummary, SessionStart,
+    CallerRequest, DeclineReason, ErrorReply, ExchangeSummary, RequestKind, SessionStart,
     TransactionState, WorkReply, WorkRequest,
 };
 
@@ -172,10 +172,10 @@
             NodeEvent::BackendLost { connection, message } => {
                 self.backend_lost(connection, &message);
             }
-            NodeEvent::RunStarted { run, .. } => self.answer_started(run),
-            NodeEvent::HeldRowsRelayed { run, .. } => self.held_rows_relayed(run),
-            NodeEvent::RunFinished { connection, run, summary } => {
-                self.exchange_finished(connection, run, summary);
+            NodeEvent::AnswerStarted { exchange, .. } => self.answer_started(exchange),
+            NodeEvent::HeldRowsRelayed { exchange, .. } => self.held_rows_relayed(exchange),
+            NodeEvent::ExchangeFinished { connection, exchange, summary } => {
+                self.exchange_finished(connection, exchange, summary);
             }
             NodeEvent::ReportArrived { id, report } => self.report_arrived(id, report),
             NodeEvent::FenceAnswered { id, accepted, report } => {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -19,7 +19,7 @@
 
 use crate::Node;
 use crate::action::AnswerTarget;
-use crate::id::{CallId, LaneId, RunId, SessionId};
+use crate::id::{CallId, ExchangeId, LaneId, SessionId};
 use crate::keyed::KeyStep;
 use crate::proof::ReadProof;
 use crate::request::{DeclineReason, WorkRequest};
@@ -78,12 +78,12 @@
     /// Holds a slot and waits for a connection.
     Granted,
     Running {
-        run: RunId,
+        exchange: ExchangeId,
         /// `Relay` or `Discard` has been sent, or is not needed.
         decided: bool,
     },
     /// The commit finished and waits for its acknowledgement.
-    Acknowledging { commit: CommitId, run: Option<RunId> },
+    Acknowledging { commit: CommitId, exchange: Option<ExchangeId> },
 }
 
 /// A request at its owner.
@@ -175,7 +175,7 @@
     pub services: FastMap<Name, DatabaseService>,
     pub requests: FastMap<RequestId, OwnerRequest>,
     pub calls: FastMap<CallId, RequestId>,
-    pub exchanges: FastMap<RunId, RequestId>,
+    pub exchanges: FastMap<ExchangeId, RequestId>,
     pub commits: FastMap<CommitId, CommitPurpose>,
     pub connections: FastMap<ConnectionId, BackendConnection>,
     pub pins: FastMap<PinKey, TransactionPin>,
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -33,7 +33,7 @@
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         request.timer_due = None;
         match request.stage {
-            RequestStage::Running { run, .. } => {
+            RequestStage::Running { exchange, .. } => {
                 let connection = request.connection;
                 if request.cancel_sent {
                     // The backend server does not answer; closing the connection releases the slot.
@@ -44,7 +44,7 @@
                 } else {
                     request.cancel_sent = true;
                     if let Some(connection) = connection {
-                        self.emit(NodeAction::CancelRun { connection, run });
+                        self.emit(NodeAction::CancelExchange { connection, exchange });
                     }
                     self.arm_owner_request(id, Some(self.now + CANCEL_GRACE));
                 }
@@ -58,9 +58,9 @@
     pub(crate) fn cancel_owner_request(&mut self, id: RequestId) {
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         match (&request.stage, request.connection) {
-            (RequestStage::Running { run, .. }, Some(connection)) => {
-                let run = *run;
-                self.emit(NodeAction::CancelRun { connection, run });
+            (RequestStage::Running { exchange, .. }, Some(connection)) => {
+                let exchange = *exchange;
+                self.emit(NodeAction::CancelExchange { connection, exchange });
             }
             (RequestStage::Acknowledging { .. }, _) => {}
             _ => self.decline_owner_request(id, DeclineReason::Deadline { expected: Micros::ZERO }),
@@ -74,25 +74,25 @@
             self.owner.calls.remove(&call);
         }
         request.origin = RequestOrigin::Abandoned;
-        if let Some(run) = self.undecided_statement(id) {
-            self.emit(NodeAction::Discard { run });
+        if let Some(exchange) = self.undecided_statement(id) {
+            self.emit(NodeAction::Discard { exchange });
         }
         let Some(request) = self.owner.requests.get_mut(&id) else { return };
         match (&request.stage, request.connection) {
-            (RequestStage::Running { run, .. }, Some(connection)) => {
-                let run = *run;
-                request.stage = RequestStage::Running { run, decided: true };
+            (RequestStage::Running { exchange, .. }, Some(connection)) => {
+                let exchange = *exchange;
+                request.stage = RequestStage::Running { exchange, decided: true };
                 let armed = request.cancel_sent;
                 request.cancel_sent = true;
-                self.emit(NodeAction::Discard { run });
-                self.emit(NodeAction::CancelRun { connection, run });
+                self.emit(NodeAction::Discard { exchange });
+                self.emit(NodeAction::CancelExchange { connection, exchange });
                 if !armed {
                     self.arm_owner_request(id, Some(self.now + CANCEL_GRACE));
                 }
             }
-            (RequestStage::Acknowledging { run, .. }, _) => {
-                if let Some(run) = *run {
-                    self.emit(NodeAction::Discard { run });
+            (RequestStage::Acknowledging { exchange, .. }, _) => {
+                if let Some(exchange) = *exchange {
+                    self.emit(NodeAction::Discard { exchange });
                 }
                 self.remove_owner_request(id);
             }
@@ -124,8 +124,8 @@
             }
         }
         match &request.stage {
-            RequestStage::Running { run, .. } => {
-                self.owner.exchanges.remove(run);
+            RequestStage::Running { exchange, .. } => {
+                self.owner.exchanges.remove(exchange);
             }
             RequestStage::Acknowledging { commit, .. } => {
                 self.owner.commits.remove(commit);
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -5,7 +5,7 @@
 
 use crate::Node;
 use crate::action::NodeAction;
-use crate::id::RunId;
+use crate::id::ExchangeId;
 use crate::owner::{CommitPurpose, OwnerRequest, RequestOrigin, RequestStage};
 use crate::request::{DeclineReason, WorkReply};
 use admit::RequestId;
@@ -122,8 +122,8 @@
     }
 
     /// Handles the first byte of an answer: checks the proof again, then relays or discards the answer.
-    pub(crate) fn answer_started(&mut self, run: RunId) {
-        let Some(id) = self.owner.exchanges.get(&run).copied() else { return };
+    pub(crate) fn answer_started(&mut self, exchange: ExchangeId) {
+        let Some(id) = self.owner.exchanges.get(&exchange).copied() else { return };
         let Some(request) = self.owner.requests.get(&id) else { return };
         if !matches!(request.stage, RequestStage::Running { decided: false, .. }) {
             return;
@@ -132,15 +132,15 @@
         let (origin, connection) = (request.origin, request.connection);
         let (age, wait) = self.age_and_wait(id);
         if let Some(request) = self.owner.requests.get_mut(&id) {
-            request.stage = RequestStage::Running { run, decided: true };
+            request.stage = RequestStage::Running { exchange, decided: true };
             match refusal {
-                None => self.emit(NodeAction::Relay { run }),
+                None => self.emit(NodeAction::Relay { exchange }),
                 Some(reason) => {
                     request.origin = RequestOrigin::Abandoned;
                     self.count("reads.discarded", 1);
-                    self.emit(NodeAction::Discard { run });
+                    self.emit(NodeAction::Discard { exchange });
                     if let Some(connection) = connection {
-                        self.emit(NodeAction::CancelRun { connection, run });
+                        self.emit(NodeAction::CancelExchange { connection, exchange });
                     }
                     let reply = WorkReply::Declined { reason, age, wait };
                     self.send_reply(id, origin, reply, None);
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -55,7 +55,7 @@
 
 /// Result of an exchange on a backend connection.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RunSummary {
+pub struct ExchangeSummary {
     pub transaction: TransactionState,
     /// Tag of the last `CommandComplete`, such as `INSERT 0 1`.
     pub command_tag: Option<String>,
--- a/crates/node/tests/driver/mod.rs
+++ b/crates/node/tests/driver/mod.rs
@@ -75,12 +75,38 @@
 
 enum ScheduledItem {
     Event(usize, NodeEvent),
-    Execute { node: usize, connection: ConnectionId, run: RunId, text: String, mode: RelayMode },
-    Replicate { database: String, term: u64, position: u64 },
-    Report { node: usize, database: String, action: NodeAction },
-    Heartbeat { from: usize, to: String, heartbeat: member::Heartbeat },
-    Pull { from: usize, to: String, document: Option<Name> },
-    View { from: usize, to: String, cluster: Name },
+    Execute {
+        node: usize,
+        connection: ConnectionId,
+        exchange: ExchangeId,
+        text: String,
+        mode: RelayMode,
+    },
+    Replicate {
+        database: String,
+        term: u64,
+        position: u64,
+    },
+    Report {
+        node: usize,
+        database: String,
+        action: NodeAction,
+    },
+    Heartbeat {
+        from: usize,
+        to: String,
+        heartbeat: member::Heartbeat,
+    },
+    Pull {
+        from: usize,
+        to: String,
+        document: Option<Name>,
+    },
+    View {
+        from: usize,
+        to: String,
+        cluster: Name,
+    },
 }
 
 pub struct Driver {
@@ -94,7 +120,7 @@
     pub handled_events: u64,
     pub databases: BTreeMap<String, FakeDatabase>,
     connections: HashMap<(usize, ConnectionId), Connection>,
-    exchanges: HashMap<(usize, RunId), BackendExchange>,
+    exchanges: HashMap<(usize, ExchangeId), BackendExchange>,
     /// Entry node and its call, by owner and the owner's call; `outgoing` is the reverse.
     incoming: HashMap<(usize, CallId), (usize, CallId, SessionId)>,
     outgoing: HashMap<(usize, CallId), (usize, CallId)>,
@@ -316,8 +342,8 @@
     fn run_item(&mut self, item: ScheduledItem) {
         match item {
             ScheduledItem::Event(node, event) => self.handle_event(node, event),
-            ScheduledItem::Execute { node, connection, run, text, mode } => {
-                self.execute(node, connection, run, &text, mode);
+            ScheduledItem::Execute { node, connection, exchange, text, mode } => {
+                self.execute(node, connection, exchange, &text, mode);
             }
             ScheduledItem::Replicate { database, term, position } => {
                 let database = self.databases.get_mut(&database).unwrap();
@@ -405,21 +431,21 @@
             NodeAction::CloseBackend { connection } => {
                 self.connections.remove(&(node, connection));
             }
-            NodeAction::Run { connection, run, frames, mode } => {
-                self.start_exchange(node, connection, run, &frames, mode);
+            NodeAction::StartExchange { connection, exchange, frames, mode } => {
+                self.start_exchange(node, connection, exchange, &frames, mode);
             }
-            NodeAction::CancelRun { connection, run } => {
-                self.cancel_exchange(node, connection, run)
+            NodeAction::CancelExchange { connection, exchange } => {
+                self.cancel_exchange(node, connection, exchange)
             }
-            NodeAction::Relay { run } => {
-                let record = self.exchanges.get_mut(&(node, run)).unwrap();
+            NodeAction::Relay { exchange } => {
+                let record = self.exchanges.get_mut(&(node, exchange)).unwrap();
                 assert!(!record.decided, "a second decision about an exchange");
                 record.decided = true;
                 let (target, text) = (record.session, record.text.clone());
                 self.relayed.entry(target.unwrap()).or_default().push(text);
             }
-            NodeAction::Discard { run } => {
-                if let Some(record) = self.exchanges.get_mut(&(node, run)) {
+            NodeAction::Discard { exchange } => {
+                if let Some(record) = self.exchanges.get_mut(&(node, exchange)) {
                     record.decided = true;
                 }
             }
@@ -551,7 +577,7 @@
         &mut self,
         node: usize,
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
         frames: &[u8],
         mode: RelayMode,
     ) {
@@ -576,13 +602,13 @@
         }
         let record =
             BackendExchange { session, mode, text: text.clone(), finished: false, decided: false };
-        self.exchanges.insert((node, run), record);
+        self.exchanges.insert((node, exchange), record);
         let after = NETWORK_DELAY + self.databases[&database].service_time;
-        self.schedule(after, ScheduledItem::Execute { node, connection, run, text, mode });
+        self.schedule(after, ScheduledItem::Execute { node, connection, exchange, text, mode });
     }
 
-    fn cancel_exchange(&mut self, node: usize, connection: ConnectionId, run: RunId) {
-        let Some(record) = self.exchanges.get_mut(&(node, run)) else { return };
+    fn cancel_exchange(&mut self, node: usize, connection: ConnectionId, exchange: ExchangeId) {
+        let Some(record) = self.exchanges.get_mut(&(node, exchange)) else { return };
         let Some(backend) = self.connections.get_mut(&(node, connection)) else { return };
         let found = &self.databases[&backend.database];
         if record.finished || found.frozen || found.down {
@@ -594,11 +620,12 @@
         }
         let error = ErrorReply { code: "57014".into(), message: "canceled".into() };
         let transaction = backend.state;
-        let summary = RunSummary { transaction, error: Some(error), ..RunSummary::default() };
+        let summary =
+            ExchangeSummary { transaction, error: Some(error), ..ExchangeSummary::default() };
         self.schedule_event(
             NETWORK_DELAY,
             node,
-            NodeEvent::RunFinished { connection, run, summary },
+            NodeEvent::ExchangeFinished { connection, exchange, summary },
         );
     }
 
@@ -606,12 +633,12 @@
         &mut self,
         node: usize,
         connection: ConnectionId,
-        run: RunId,
+        exchange: ExchangeId,
         text: &str,
         mode: RelayMode,
     ) {
         let Some(mut backend) = self.connections.remove(&(node, connection)) else { return };
-        let record = self.exchanges.get_mut(&(node, run)).unwrap();
+        let record = self.exchanges.get_mut(&(node, exchange)).unwrap();
         let found = self.databases[&backend.database].clone();
         if record.finished || found.frozen {
             self.connections.insert((node, connection), backend);
@@ -622,7 +649,7 @@
             self.schedule_event(
                 NETWORK_DELAY,
                 node,
-                NodeEvent::HeldRowsRelayed { connection, run },
+                NodeEvent::HeldRowsRelayed { connection, exchange },
             );
         }
         let lost = found.lose_next.filter(|(part, _)| text.contains(part));
@@ -631,7 +658,7 @@
             let event = NodeEvent::BackendLost { connection, message: "connection reset".into() };
             return self.schedule_event(NETWORK_DELAY, node, event);
         }
-        let mut summary = RunSummary::default();
+        let mut summary = ExchangeSummary::default();
         for statement in text.split(';').map(str::trim).filter(|part| !part.is_empty()) {
             if let Err(code) = self.statement(&mut backend, statement, &mut summary) {
                 if backend.state == TransactionState::Open {
@@ -648,10 +675,14 @@
             return self.schedule_event(NETWORK_DELAY, node, event);
         }
         if matches!(mode, RelayMode::Decide(_)) && summary.error.is_none() {
-            self.schedule_event(NETWORK_DELAY, node, NodeEvent::RunStarted { connection, run });
+            self.schedule_event(
+                NETWORK_DELAY,
+                node,
+                NodeEvent::AnswerStarted { connection, exchange },
+            );
         }
         if let RelayMode::Stream(_) = mode
-            && let Some(target) = self.exchanges[&(node, run)].session
+            && let Some(target) = self.exchanges[&(node, exchange)].session
         {
             self.relayed.entry(target).or_default().push(text.to_string());
         }
@@ -659,7 +690,7 @@
         self.schedule_event(
             NETWORK_DELAY,
             node,
-            NodeEvent::RunFinished { connection, run, summary },
+            NodeEvent::ExchangeFinished { connection, exchange, summary },
         );
     }
 
@@ -667,7 +698,7 @@
         &mut self,
         backend: &mut Connection,
         text: &str,
-        summary: &mut RunSummary,
+        summary: &mut ExchangeSummary,
     ) -> Result<(), &'static str> {
         let primary = self.databases[&backend.database].primary;
         let text = match text.split_once("*/") {
