--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use model::{LabelSet, SocketAddress};
-use node::{OperatorCall, SessionId};
+use node::{OperatorQuery, SessionId};
 use stakker::sync::Channel;
 use stats::CallerMeasure;
 
@@ -21,7 +21,7 @@
 /// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum AdminCall {
-    Node(OperatorCall),
+    Node(OperatorQuery),
     /// The node's state dump with the daemon's under `shell`.
     Dump,
     Drain,
@@ -122,7 +122,7 @@
     let (expected, call) = match path {
         "/v1/dump" => (tiny_http::Method::Get, AdminCall::Dump),
         "/v1/health" => (tiny_http::Method::Get, AdminCall::Health),
-        "/v1/rollout" => (tiny_http::Method::Get, AdminCall::Node(OperatorCall::Rollout)),
+        "/v1/rollout" => (tiny_http::Method::Get, AdminCall::Node(OperatorQuery::Rollout)),
         "/v1/drain" => (tiny_http::Method::Post, AdminCall::Drain),
         "/v1/top" => {
             let measure = parse_measure(get("measure").unwrap_or("requests"))
@@ -135,13 +135,13 @@
                     .filter(|rows| (1..=MAX_ROWS).contains(rows))
                     .ok_or_else(|| bad("rows", &format!("a number from 1 to {MAX_ROWS}")))?,
             };
-            (tiny_http::Method::Get, AdminCall::Node(OperatorCall::Top { measure, rows }))
+            (tiny_http::Method::Get, AdminCall::Node(OperatorQuery::Top { measure, rows }))
         }
         "/v1/explain" => {
-            let call = match get("session") {
+            let query = match get("session") {
                 Some(session) => {
                     let id = session.parse().map_err(|_| bad("session", "a session's number"))?;
-                    OperatorCall::ExplainSession { session: SessionId(id) }
+                    OperatorQuery::ExplainSession { session: SessionId(id) }
                 }
                 None => {
                     let attributes = ["user", "application", "address"]
@@ -151,14 +151,14 @@
                         .map_err(|error| (400, error.to_string()))?;
                     let cluster =
                         get("cluster").ok_or_else(|| bad("cluster", "a cluster's name"))?;
-                    OperatorCall::Explain {
+                    OperatorQuery::Explain {
                         attributes: LabelSet::from_pairs(attributes),
                         labels,
                         cluster: cluster.into(),
                     }
                 }
             };
-            (tiny_http::Method::Get, AdminCall::Node(call))
+            (tiny_http::Method::Get, AdminCall::Node(query))
         }
         _ => return Err((404, format!("no such path: {path}"))),
     };
--- a/crates/daemon/src/driver/clients.rs
+++ b/crates/daemon/src/driver/clients.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use model::SocketAddress;
-use node::{AnswerTarget, CallerRequest, NodeEvent, SessionId};
+use node::{AnswerTarget, ClientRequest, NodeEvent, SessionId};
 use stakker::{CX, actor, after, call, ret_nop};
 use stakker_mio::Ready;
 use stakker_mio::mio::net::TcpStream;
@@ -79,7 +79,7 @@
         cx: CX![],
         session: SessionId,
         number: u64,
-        request: CallerRequest,
+        request: ClientRequest,
     ) {
         if let Some(entry) = self.sessions.get_mut(&session) {
             entry.request = number;
--- a/crates/daemon/src/driver/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -35,7 +35,7 @@
     pub(super) fn admin_request(&mut self, cx: CX![], request: AdminRequest) {
         let AdminRequest { call, reply } = request;
         let answer = match call {
-            AdminCall::Node(call) => self.node.answer(self.now(cx), &call),
+            AdminCall::Node(query) => self.node.answer(self.now(cx), &query),
             AdminCall::Health => json!({
                 "node": self.settings.name,
                 "status": if self.draining { "draining" } else { "ready" },
@@ -75,7 +75,7 @@
                 }
             });
         }
-        let mut dump = self.node.answer(self.now(cx), &node::OperatorCall::Dump);
+        let mut dump = self.node.answer(self.now(cx), &node::OperatorQuery::Dump);
         let shell = json!({
             "uptime_ms": self.now(cx).as_millis(),
             "draining": self.draining,
--- a/crates/daemon/src/driver/peers.rs
+++ b/crates/daemon/src/driver/peers.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use model::SocketAddress;
 use node::{
-    AnswerTarget, CallId, LaneId, NodeAction, NodeEvent, SessionId, WorkReply, WorkRequest,
+    AnswerTarget, CallId, LaneId, NodeAction, NodeEvent, OwnerReply, RoutedRequest, SessionId,
 };
 use rpc::{AnswerPart, ChunkPermit, ForwardReply, PeerCallError, PeerRequest, RpcStream};
 use stakker::{CX, after, call, fwd_to};
@@ -85,8 +85,8 @@
                 });
                 self.peer_clients.view(cx, to.peer_address, &name, VIEW_TIMEOUT, done);
             }
-            NodeAction::Forward { call, session, to, lane, work } => {
-                self.forward(cx, call, session, to.peer_address, lane, &work);
+            NodeAction::Forward { call, session, to, lane, request } => {
+                self.forward(cx, call, session, to.peer_address, lane, &request);
             }
             NodeAction::CancelForward { call } => {
                 if let Some((guard, _)) = self.forwards.get(&call) {
@@ -114,7 +114,7 @@
         session: SessionId,
         address: SocketAddress,
         lane: Option<LaneId>,
-        request: &WorkRequest,
+        request: &RoutedRequest,
     ) {
         let sink = self.answer_sink(AnswerTarget::Session(session));
         let deferrer = cx.deferrer();
@@ -185,7 +185,8 @@
                     self.lanes.remove(&lane);
                 }
                 let event = if relayed.get() {
-                    let reply = WorkReply::ReadFailed { relayed: true, message: error.to_string() };
+                    let reply =
+                        OwnerReply::AnswerInterrupted { relayed: true, message: error.to_string() };
                     NodeEvent::ForwardAnswered { call, reply, lane: None }
                 } else {
                     NodeEvent::ForwardFailed { call, sent: error.may_have_arrived() }
@@ -213,22 +214,22 @@
             PeerRequest::View { cluster, reply } => {
                 let _ = reply.send(self.node.view(self.now(cx), &cluster));
             }
-            PeerRequest::Execute { call, from, lane, work, answers } => {
+            PeerRequest::Execute { call, from, lane, request, answers } => {
                 self.peer_calls.insert(call, answers);
-                self.node_event(cx, NodeEvent::ForwardArrived { call, from, lane, work });
+                self.node_event(cx, NodeEvent::ForwardArrived { call, from, lane, request });
             }
-            PeerRequest::Cancelled { call } => {
+            PeerRequest::CallCancelled { call } => {
                 if self.peer_calls.contains_key(&call) {
                     self.node_event(cx, NodeEvent::ForwardCancelled { call });
                 }
             }
-            PeerRequest::Dropped { call } => {
+            PeerRequest::CallDropped { call } => {
                 if self.peer_calls.remove(&call).is_some() {
                     self.discard_held(AnswerTarget::Call(call));
                     self.node_event(cx, NodeEvent::ForwardCancelled { call });
                 }
             }
-            PeerRequest::Finished => self.finish_if_empty(cx),
+            PeerRequest::CallFinished => self.finish_if_empty(cx),
             PeerRequest::LaneDropped { lane } => {
                 self.node_event(cx, NodeEvent::LaneDropped { lane });
             }
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use model::Name;
 use node::{
-    CallerRequest, ErrorReply, NodeEvent, RequestKind, SessionId, SessionStart, TransactionState,
+    ClientRequest, ErrorReply, NodeEvent, RequestKind, SessionId, SessionStart, TransactionState,
 };
 use pg::{AnswerScanner, FirstPacket, Frame, FrameSplitter, Severity, StatementTable, kind};
 use rpc::ChunkPermit;
@@ -424,7 +424,7 @@
         self.state = SessionState::Busy { flush };
         self.request += 1;
         self.request_failed = false;
-        let request = CallerRequest { kind, text, frames };
+        let request = ClientRequest { kind, text, frames };
         call!([self.driver, cx], request_arrived(self.id, self.request, request));
     }
 
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -8,7 +8,7 @@
 use model::{Name, SocketAddress, Term};
 
 use crate::id::{CallId, ExchangeId, LaneId, ReportId, SessionId};
-use crate::request::{ErrorReply, TransactionState, WorkReply, WorkRequest};
+use crate::request::{ErrorReply, OwnerReply, RoutedRequest, TransactionState};
 
 /// Where the answer of an exchange goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -140,7 +140,7 @@
         session: SessionId,
         to: MemberInfo,
         lane: Option<LaneId>,
-        work: Box<WorkRequest>,
+        request: Box<RoutedRequest>,
     },
     /// Cancel the call at the peer; `ForwardAnswered` or `ForwardFailed` still follows.
     CancelForward {
@@ -149,7 +149,7 @@
     /// Answer a forwarded call. `lane` is set while the connection stays pinned.
     AnswerForward {
         call: CallId,
-        reply: WorkReply,
+        reply: OwnerReply,
         lane: Option<LaneId>,
     },
     /// Drop the lane capability at the peer.
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -21,7 +21,7 @@
 use crate::frames::{ProxyAnswer, executes, proxy_answer};
 use crate::hints::HintTable;
 use crate::id::{CallId, SessionId};
-use crate::request::{CallerRequest, ErrorReply};
+use crate::request::{ClientRequest, ErrorReply};
 use crate::session::Session;
 use crate::step::PendingStep;
 
@@ -56,7 +56,7 @@
 /// The request in progress of a session.
 #[derive(Debug)]
 pub(crate) struct EntryRequest {
-    pub request: CallerRequest,
+    pub request: ClientRequest,
     pub read: bool,
     pub commits: bool,
     /// The statement may write, so the COMMIT of its transaction has to be acknowledged.
@@ -117,7 +117,7 @@
 }
 
 impl Node {
-    pub(crate) fn request_arrived(&mut self, id: SessionId, request: CallerRequest) {
+    pub(crate) fn request_arrived(&mut self, id: SessionId, request: ClientRequest) {
         let Some(mut session) = self.sessions.remove(&id) else { return };
         if session.request.is_some() {
             // The I/O driver sends one request at a time; a second one would end twice.
@@ -179,7 +179,7 @@
     fn prepare_request(
         &mut self,
         session: &mut Session,
-        request: CallerRequest,
+        request: ClientRequest,
         class: &StatementClass,
         comment_key: Option<Name>,
     ) -> EntryRequest {
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -11,7 +11,7 @@
 use crate::frames::{ProxyAnswer, proxy_answer};
 use crate::id::{LaneId, SessionId};
 use crate::owner::PinKey;
-use crate::request::{ErrorReply, TransactionState, WorkReply};
+use crate::request::{ErrorReply, OwnerReply, TransactionState};
 use crate::session::SessionTransaction;
 use crate::step::PendingStep;
 
@@ -21,7 +21,7 @@
         &mut self,
         id: SessionId,
         path: AttemptPath,
-        reply: WorkReply,
+        reply: OwnerReply,
         lane: Option<LaneId>,
     ) {
         let now = self.now;
@@ -32,7 +32,13 @@
         let database = attempt.database.clone();
         let cluster = session.cluster.clone();
         match reply {
-            WorkReply::Done { transaction, required_position, replacement_position, age, wait } => {
+            OwnerReply::Done {
+                transaction,
+                required_position,
+                replacement_position,
+                age,
+                wait,
+            } => {
                 let led = !request.read;
                 session.update_required_position(required_position, replacement_position);
                 self.entry.hints.update_status(now, &database, age, wait);
@@ -45,7 +51,7 @@
                 self.update_transaction(id, &attempt, transaction, lane);
                 self.finish_request(id, None, Bytes::new());
             }
-            WorkReply::Recorded { command_tag, error, transaction, required_position } => {
+            OwnerReply::Recorded { command_tag, error, transaction, required_position } => {
                 let answer = match &command_tag {
                     Some(tag) => proxy_answer(&request.request, ProxyAnswer::Complete { tag }),
                     None => Bytes::new(),
@@ -56,16 +62,18 @@
                 self.update_transaction(id, &attempt, transaction, lane);
                 self.finish_request(id, error, answer);
             }
-            WorkReply::Declined { reason, age, wait } => {
+            OwnerReply::Declined { reason, age, wait } => {
                 self.entry.hints.update_status(now, &database, age, wait);
                 match session.transaction.is_some() {
                     true => self.end_transaction(id, "a statement of the transaction was declined"),
                     false => self.request_declined(id, &cluster, &attempt, reason, age),
                 }
             }
-            WorkReply::RolledBack { message } => self.end_transaction(id, &message),
-            WorkReply::Unknown { message } => self.write_outcome_unknown(id, &database, &message),
-            WorkReply::ReadFailed { relayed, message } => {
+            OwnerReply::RolledBack { message } => self.end_transaction(id, &message),
+            OwnerReply::OutcomeUnknown { message } => {
+                self.write_outcome_unknown(id, &database, &message)
+            }
+            OwnerReply::AnswerInterrupted { relayed, message } => {
                 self.answer_interrupted(id, &database, relayed, &message);
             }
         }
--- a/crates/node/src/entry/retry.rs
+++ b/crates/node/src/entry/retry.rs
@@ -8,7 +8,7 @@
 use crate::Node;
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
-use crate::request::{DeclineReason, WorkReply};
+use crate::request::{DeclineReason, OwnerReply};
 use crate::step::PendingStep;
 
 impl Node {
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(crate) fn forward_answered(&mut self, id: CallId, reply: WorkReply, lane: Option<LaneId>) {
+    pub(crate) fn forward_answered(&mut self, id: CallId, reply: OwnerReply, lane: Option<LaneId>) {
         match self.entry.calls.remove(&id) {
             Some(call) => self.reply_arrived(call.session, AttemptPath::Remote(id), reply, lane),
             None => {
@@ -76,15 +76,15 @@
             self.sessions.get(&call.session).is_some_and(|session| session.transaction.is_some());
         let message = format!("the connection to node {} was lost", call.to);
         let reply = if in_transaction && (!sent || !commits) {
-            WorkReply::RolledBack { message }
+            OwnerReply::RolledBack { message }
         } else if !sent || (!read && !commits) {
             // The owner rolls back a transaction that was being opened, because its lane is lost.
             let reason = DeclineReason::Unavailable;
-            WorkReply::Declined { reason, age: None, wait: Micros::ZERO }
+            OwnerReply::Declined { reason, age: None, wait: Micros::ZERO }
         } else if read {
-            WorkReply::ReadFailed { relayed: false, message }
+            OwnerReply::AnswerInterrupted { relayed: false, message }
         } else {
-            WorkReply::Unknown { message }
+            OwnerReply::OutcomeUnknown { message }
         };
         self.reply_arrived(call.session, AttemptPath::Remote(id), reply, None);
     }
@@ -121,7 +121,7 @@
                 self.entry.hints.clear_leader(cluster, &database);
             }
             // The nodes disagree on the owner for one or two heartbeats.
-            DeclineReason::NotOwner { .. } | DeclineReason::Leaving => {
+            DeclineReason::NotOwner { .. } | DeclineReason::ShuttingDown => {
                 self.entry.hints.exclude(now, &database);
             }
             DeclineReason::QueueFull { limit } => {
@@ -132,7 +132,7 @@
                     return self.finish_request(id, Some(error("WK002", message)), Bytes::new());
                 }
             }
-            DeclineReason::Deadline { expected } => {
+            DeclineReason::DeadlineUnreachable { expected } => {
                 self.entry.hints.exclude(now, &database);
                 if !read || self.known_leader(cluster).as_ref() == Some(&database) {
                     let message = format!(
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -9,7 +9,7 @@
 use crate::action::NodeAction;
 use crate::id::{CallId, LaneId, SessionId};
 use crate::owner::{PinKey, RequestOrigin};
-use crate::request::WorkRequest;
+use crate::request::RoutedRequest;
 use crate::session::Session;
 use crate::timer::TimerKey;
 
@@ -126,7 +126,7 @@
         let session_age = (required_position.is_none() && !session.has_token)
             .then(|| now.saturating_sub(session.arrived));
         let needs_primary = request.policy.max_age == Micros::ZERO || request.primary_only;
-        let routed = Box::new(WorkRequest {
+        let routed = Box::new(RoutedRequest {
             database: database.clone(),
             caller: session.caller.clone(),
             labels: session.labels.clone(),
@@ -160,7 +160,7 @@
                 let owner = to.name.clone();
                 self.entry.calls.insert(call, ForwardedCall { session: id, to: owner.clone() });
                 self.count("requests.forwarded", 1);
-                self.emit(NodeAction::Forward { call, session: id, to, lane, work: routed });
+                self.emit(NodeAction::Forward { call, session: id, to, lane, request: routed });
                 (owner, AttemptPath::Remote(call))
             }
         };
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -8,7 +8,7 @@
 use model::{LogPosition, Name};
 
 use crate::id::{CallId, ExchangeId, LaneId, ReportId, SessionId};
-use crate::request::{CallerRequest, ExchangeSummary, SessionStart, WorkReply, WorkRequest};
+use crate::request::{ClientRequest, ExchangeSummary, OwnerReply, RoutedRequest, SessionStart};
 
 /// An event. The I/O driver passes events in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,7 +21,7 @@
     /// The next request of a session; the I/O driver sends one at a time.
     RequestArrived {
         session: SessionId,
-        request: CallerRequest,
+        request: ClientRequest,
     },
     SessionClosed {
         session: SessionId,
@@ -99,7 +99,7 @@
         call: CallId,
         from: Name,
         lane: Option<LaneId>,
-        work: Box<WorkRequest>,
+        request: Box<RoutedRequest>,
     },
     /// The peer cancels the call. The call is still answered, although the peer may ignore the answer.
     ForwardCancelled {
@@ -112,12 +112,12 @@
     /// The answer to a call that this node forwarded. `lane` is set while a transaction is open.
     ForwardAnswered {
         call: CallId,
-        reply: WorkReply,
+        reply: OwnerReply,
         lane: Option<LaneId>,
     },
     /// The connection to the peer was lost; `sent` tells whether the request may have reached it. If a
     /// part of the answer was already relayed to the client, the I/O driver reports `ForwardAnswered`
-    /// with `WorkReply::ReadFailed { relayed: true, .. }` instead, for reads and writes alike.
+    /// with `OwnerReply::AnswerInterrupted { relayed: true, .. }` instead, for reads and writes alike.
     ForwardFailed {
         call: CallId,
         sent: bool,
@@ -158,7 +158,7 @@
 
 /// Operator queries, which the node answers at once with JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OperatorCall {
+pub enum OperatorQuery {
     Dump,
     /// Rows of the accounting table.
     Top {
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::id::{ExchangeId, LaneId};
 use crate::owner::{CommitPurpose, PinKey, RequestOrigin, RequestStage, TransactionPin};
 use crate::proof::ProofCheck;
-use crate::request::{DeclineReason, ExchangeSummary, TransactionState, WorkReply};
+use crate::request::{DeclineReason, ExchangeSummary, OwnerReply, TransactionState};
 use crate::step::PendingStep;
 
 /// SQLSTATE that a replica returns for a write.
@@ -161,7 +161,7 @@
             (request.replacement_position, required_position.or(request.sampled_position));
         let (age, wait) = self.age_and_wait(id);
         let reply =
-            WorkReply::Done { transaction, required_position, replacement_position, age, wait };
+            OwnerReply::Done { transaction, required_position, replacement_position, age, wait };
         self.reply_owner_request(id, reply);
     }
 
@@ -252,7 +252,7 @@
                 match recorded {
                     Some(tag) => self.reply_owner_request(
                         id,
-                        WorkReply::Recorded {
+                        OwnerReply::Recorded {
                             command_tag: Some(tag),
                             error: None,
                             transaction: TransactionState::Idle,
@@ -290,7 +290,7 @@
                     self.emit(NodeAction::Discard { exchange });
                 }
                 let message = "the primary could not be confirmed after the commit".to_string();
-                self.reply_owner_request(id, WorkReply::Unknown { message });
+                self.reply_owner_request(id, OwnerReply::OutcomeUnknown { message });
             }
             Some(CommitPurpose::Round(requests)) => {
                 for id in requests {
@@ -317,11 +317,11 @@
             (request.routed.read, request.routed.commits, request.pin.is_some());
         let reply = match request.stage {
             RequestStage::Acknowledging { .. } => return,
-            RequestStage::Running { .. } if commits => WorkReply::Unknown { message },
+            RequestStage::Running { .. } if commits => OwnerReply::OutcomeUnknown { message },
             RequestStage::Running { decided, .. } if read && !pinned => {
-                WorkReply::ReadFailed { relayed: decided, message }
+                OwnerReply::AnswerInterrupted { relayed: decided, message }
             }
-            _ => WorkReply::RolledBack { message },
+            _ => OwnerReply::RolledBack { message },
         };
         if let RequestStage::Running { exchange, decided: false } = request.stage {
             self.emit(NodeAction::Discard { exchange });
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -7,7 +7,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use sha2::{Digest, Sha256};
 
-use crate::request::{CallerRequest, RequestKind};
+use crate::request::{ClientRequest, RequestKind};
 
 /// An answer that the proxy builds itself.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
 }
 
 /// Builds the messages that answer a request, without `ReadyForQuery`.
-pub(crate) fn proxy_answer(request: &CallerRequest, answer: ProxyAnswer<'_>) -> Bytes {
+pub(crate) fn proxy_answer(request: &ClientRequest, answer: ProxyAnswer<'_>) -> Bytes {
     let mut frames = BytesMut::new();
     match request.kind {
         RequestKind::Simple => {
@@ -62,13 +62,13 @@
 }
 
 /// Returns whether a request executes a statement, rather than only preparing or describing it.
-pub(crate) fn executes(request: &CallerRequest) -> bool {
+pub(crate) fn executes(request: &ClientRequest) -> bool {
     request.kind == RequestKind::Simple || messages(&request.frames).any(|(kind, _)| kind == b'E')
 }
 
 /// Returns a hash of the statement text and all bound values, in hexadecimal. It does not cover the
 /// other messages, because the presence of a `Parse` depends on the connection.
-pub(crate) fn statement_hash(request: &CallerRequest) -> String {
+pub(crate) fn statement_hash(request: &ClientRequest) -> String {
     let mut hash = Sha256::new();
     hash.update(request.text.as_bytes());
     if request.kind == RequestKind::Extended {
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -13,7 +13,7 @@
 use crate::frames::{quote_text, simple_query, statement_hash};
 use crate::id::ExchangeId;
 use crate::owner::RequestStage;
-use crate::request::{DeclineReason, ErrorReply, ExchangeSummary, TransactionState, WorkReply};
+use crate::request::{DeclineReason, ErrorReply, ExchangeSummary, OwnerReply, TransactionState};
 
 const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS cicadawick_requests (request_key text, \
     caller text, statement_hash text, outcome text, PRIMARY KEY (request_key, caller))";
@@ -297,7 +297,7 @@
         error: ErrorReply,
     ) {
         self.release_keyed_request(id, connection, state);
-        let reply = WorkReply::Recorded {
+        let reply = OwnerReply::Recorded {
             command_tag: None,
             error: Some(error),
             transaction: state,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -42,11 +42,11 @@
 use stats::CallerTable;
 
 pub use action::{AnswerTarget, LogLevel, NodeAction, RelayMode};
-pub use event::{NodeEvent, OperatorCall, PlatformAnswer};
+pub use event::{NodeEvent, OperatorQuery, PlatformAnswer};
 pub use id::{CallId, ExchangeId, LaneId, ReportId, SessionId};
 pub use request::{
-    CallerRequest, DeclineReason, ErrorReply, ExchangeSummary, RequestKind, SessionStart,
-    TransactionState, WorkReply, WorkRequest,
+    ClientRequest, DeclineReason, ErrorReply, ExchangeSummary, OwnerReply, RequestKind,
+    RoutedRequest, SessionStart, TransactionState,
 };
 
 use cluster::{ClusterState, PendingReport};
@@ -199,8 +199,8 @@
             NodeEvent::ViewAnswered { cluster, from, view } => {
                 self.view_answered(&cluster, from, view);
             }
-            NodeEvent::ForwardArrived { call, from, lane, work } => {
-                self.forward_arrived(call, from, lane, *work);
+            NodeEvent::ForwardArrived { call, from, lane, request } => {
+                self.forward_arrived(call, from, lane, *request);
             }
             NodeEvent::ForwardCancelled { call } => {
                 if let Some(owner_request) = self.owner.calls.get(&call).copied() {
@@ -322,8 +322,8 @@
     }
 
     /// Answers an operator query. Unknown sessions and clusters give `{"error": ...}`.
-    pub fn answer(&self, now: Micros, call: &OperatorCall) -> serde_json::Value {
-        self.answer_operator(now.max(self.now), call)
+    pub fn answer(&self, now: Micros, query: &OperatorQuery) -> serde_json::Value {
+        self.answer_operator(now.max(self.now), query)
     }
 
     /// Returns the heartbeat that answers a peer's heartbeat.
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -5,7 +5,7 @@
 use serde_json::{Map, Value, json};
 
 use crate::Node;
-use crate::event::OperatorCall;
+use crate::event::OperatorQuery;
 use crate::session::merge_labels;
 
 /// Maximum number of busy sessions, and of idle ones, that a dump lists. The counts cover all sessions.
@@ -14,18 +14,18 @@
 const DUMPED_LABELS: usize = 32;
 
 impl Node {
-    pub(crate) fn answer_operator(&self, now: Micros, call: &OperatorCall) -> Value {
-        match call {
-            OperatorCall::Dump => self.dump(now),
-            OperatorCall::Top { measure, rows } => json!({
+    pub(crate) fn answer_operator(&self, now: Micros, query: &OperatorQuery) -> Value {
+        match query {
+            OperatorQuery::Dump => self.dump(now),
+            OperatorQuery::Top { measure, rows } => json!({
                 "node": self.settings.name,
                 "measure": measure,
                 "rows": self.accounts.top(now, *measure, *rows),
             }),
-            OperatorCall::Explain { attributes, labels, cluster } => {
+            OperatorQuery::Explain { attributes, labels, cluster } => {
                 self.explain(now, attributes, labels, cluster)
             }
-            OperatorCall::ExplainSession { session } => match self.sessions.get(session) {
+            OperatorQuery::ExplainSession { session } => match self.sessions.get(session) {
                 Some(found) => json!({
                     "node": self.settings.name,
                     "session": session.0,
@@ -35,7 +35,7 @@
                 }),
                 None => json!({ "error": format!("session {} is not open here", session.0) }),
             },
-            OperatorCall::Rollout => json!({
+            OperatorQuery::Rollout => json!({
                 "node": self.settings.name,
                 "revision": self.fleet.revision(),
                 "rejected": self.fleet.rejected,
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -22,7 +22,7 @@
 use crate::id::{CallId, ExchangeId, LaneId, SessionId};
 use crate::keyed::KeyStep;
 use crate::proof::ReadProof;
-use crate::request::{DeclineReason, WorkRequest};
+use crate::request::{DeclineReason, RoutedRequest};
 use crate::step::PendingStep;
 
 /// Time for which a surplus connection stays open. Opening one takes 12 ms.
@@ -91,7 +91,7 @@
 pub(crate) struct OwnerRequest {
     pub origin: RequestOrigin,
     pub peer: Option<Name>,
-    pub routed: WorkRequest,
+    pub routed: RoutedRequest,
     pub arrived: Micros,
     pub deadline: Micros,
     pub timer_due: Option<Micros>,
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -7,7 +7,7 @@
 use super::{OwnerRequest, PinKey, RequestOrigin, RequestStage};
 use crate::Node;
 use crate::proof::ProofCheck;
-use crate::request::{DeclineReason, WorkRequest};
+use crate::request::{DeclineReason, RoutedRequest};
 use crate::step::PendingStep;
 use crate::timer::TimerKey;
 
@@ -18,7 +18,7 @@
         origin: RequestOrigin,
         peer: Option<Name>,
         pin: Option<PinKey>,
-        routed: WorkRequest,
+        routed: RoutedRequest,
     ) -> RequestId {
         let id = RequestId(self.next_id());
         if let RequestOrigin::Call(call) = origin {
@@ -49,7 +49,7 @@
         };
         self.owner.requests.insert(id, request);
         if self.drain.is_draining() && pin.is_none() && matches!(origin, RequestOrigin::Call(_)) {
-            self.decline_owner_request(id, DeclineReason::Leaving);
+            self.decline_owner_request(id, DeclineReason::ShuttingDown);
         } else {
             self.check_owner_request(id);
         }
@@ -109,8 +109,12 @@
     fn decline_refused_request(&mut self, id: RequestId, reason: RefusalReason) {
         let reason = match reason {
             RefusalReason::QueueFull { limit } => DeclineReason::QueueFull { limit },
-            RefusalReason::DeadlineUnreachable { expected } => DeclineReason::Deadline { expected },
-            RefusalReason::DeadlinePassed => DeclineReason::Deadline { expected: Micros::ZERO },
+            RefusalReason::DeadlineUnreachable { expected } => {
+                DeclineReason::DeadlineUnreachable { expected }
+            }
+            RefusalReason::DeadlinePassed => {
+                DeclineReason::DeadlineUnreachable { expected: Micros::ZERO }
+            }
         };
         self.decline_owner_request(id, reason);
     }
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -8,7 +8,7 @@
 use crate::action::NodeAction;
 use crate::entry::AttemptPath;
 use crate::id::{CallId, LaneId};
-use crate::request::{DeclineReason, WorkReply, WorkRequest};
+use crate::request::{DeclineReason, OwnerReply, RoutedRequest};
 use crate::step::PendingStep;
 
 impl Node {
@@ -17,7 +17,7 @@
         call: CallId,
         from: Name,
         lane: Option<LaneId>,
-        routed: WorkRequest,
+        routed: RoutedRequest,
     ) {
         self.count("forwards.received", 1);
         self.admit_owner_request(
@@ -50,7 +50,10 @@
                 }
             }
             RequestStage::Acknowledging { .. } => {}
-            _ => self.decline_owner_request(id, DeclineReason::Deadline { expected: Micros::ZERO }),
+            _ => self.decline_owner_request(
+                id,
+                DeclineReason::DeadlineUnreachable { expected: Micros::ZERO },
+            ),
         }
     }
 
@@ -63,7 +66,10 @@
                 self.emit(NodeAction::CancelExchange { connection, exchange });
             }
             (RequestStage::Acknowledging { .. }, _) => {}
-            _ => self.decline_owner_request(id, DeclineReason::Deadline { expected: Micros::ZERO }),
+            _ => self.decline_owner_request(
+                id,
+                DeclineReason::DeadlineUnreachable { expected: Micros::ZERO },
+            ),
         }
     }
 
@@ -142,14 +148,14 @@
     }
 
     /// Ends a request with a reply.
-    pub(crate) fn reply_owner_request(&mut self, id: RequestId, reply: WorkReply) {
+    pub(crate) fn reply_owner_request(&mut self, id: RequestId, reply: OwnerReply) {
         let lane = self.lane_of(id);
         let Some(request) = self.remove_owner_request(id) else { return };
         let reply = match reply {
             // After `Unknown` the entry node would retry a keyed write, and the client would receive its
             // rows twice.
-            WorkReply::Unknown { message } if request.rows_relayed => {
-                WorkReply::ReadFailed { relayed: true, message }
+            OwnerReply::OutcomeUnknown { message } if request.rows_relayed => {
+                OwnerReply::AnswerInterrupted { relayed: true, message }
             }
             reply => reply,
         };
@@ -161,7 +167,7 @@
         &mut self,
         id: RequestId,
         origin: RequestOrigin,
-        reply: WorkReply,
+        reply: OwnerReply,
         lane: Option<LaneId>,
     ) {
         match origin {
@@ -185,13 +191,15 @@
                 DeclineReason::QueueFull { limit } => {
                     format!("the queue of {limit} requests is full")
                 }
-                DeclineReason::Deadline { .. } => "the deadline cannot be met".to_string(),
+                DeclineReason::DeadlineUnreachable { .. } => {
+                    "the deadline cannot be met".to_string()
+                }
                 _ => "the backend server is not available".to_string(),
             };
             return self.roll_back_owner_request(id, message);
         }
         let (age, wait) = self.age_and_wait(id);
-        self.reply_owner_request(id, WorkReply::Declined { reason, age, wait });
+        self.reply_owner_request(id, OwnerReply::Declined { reason, age, wait });
     }
 
     /// Ends a request and the transaction that it belongs to.
@@ -201,7 +209,7 @@
         if let Some(key) = pin {
             self.close_pin(key, &message);
         }
-        self.send_reply(id, request.origin, WorkReply::RolledBack { message }, None);
+        self.send_reply(id, request.origin, OwnerReply::RolledBack { message }, None);
     }
 
     /// Returns the data age and the expected wait that a reply carries as hints.
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -7,7 +7,7 @@
 use crate::action::NodeAction;
 use crate::id::ExchangeId;
 use crate::owner::{CommitPurpose, OwnerRequest, RequestOrigin, RequestStage};
-use crate::request::{DeclineReason, WorkReply};
+use crate::request::{DeclineReason, OwnerReply};
 use admit::RequestId;
 
 /// Maximum age of the last confirmed report round at which the primary is taken to lead, for reads and
@@ -142,7 +142,7 @@
                     if let Some(connection) = connection {
                         self.emit(NodeAction::CancelExchange { connection, exchange });
                     }
-                    let reply = WorkReply::Declined { reason, age, wait };
+                    let reply = OwnerReply::Declined { reason, age, wait };
                     self.send_reply(id, origin, reply, None);
                 }
             }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -26,7 +26,7 @@
 
 /// One client request, as the I/O driver separates it from the client's messages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CallerRequest {
+pub struct ClientRequest {
     pub kind: RequestKind,
     /// Text of the statement. For extended messages, the texts of all statements that they parse or
     /// execute, separated by a semicolon and a line end.
@@ -67,7 +67,7 @@
 
 /// A request for the owner of a database, which is this node or a peer one hop away.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkRequest {
+pub struct RoutedRequest {
     pub database: Name,
     /// The client's user, application and address, joined; used for accounting and fair shares.
     pub caller: Name,
@@ -88,7 +88,7 @@
     pub session_age: Option<Micros>,
     pub request_key: Option<Name>,
     pub user: Name,
-    pub request: CallerRequest,
+    pub request: ClientRequest,
 }
 
 /// Why an owner did not run a request. Nothing was sent to a backend server.
@@ -110,16 +110,16 @@
         limit: u32,
     },
     /// The deadline cannot be met.
-    Deadline {
+    DeadlineUnreachable {
         expected: Micros,
     },
     /// The node is shutting down.
-    Leaving,
+    ShuttingDown,
 }
 
 /// The result of a request at its owner. Rows are relayed separately, before it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WorkReply {
+pub enum OwnerReply {
     /// The answer was relayed completely.
     Done {
         transaction: TransactionState,
@@ -147,8 +147,8 @@
     /// The transaction was rolled back before its commit was sent.
     RolledBack { message: String },
     /// The outcome of the write is not known.
-    Unknown { message: String },
+    OutcomeUnknown { message: String },
     /// An answer was interrupted; `relayed` tells whether a part of it was relayed. For a write it is
     /// always true and the outcome is unknown: the write must not be retried, not even with a request key.
-    ReadFailed { relayed: bool, message: String },
+    AnswerInterrupted { relayed: bool, message: String },
 }
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -13,7 +13,7 @@
 use crate::entry::EntryRequest;
 use crate::frames::{ProxyAnswer, proxy_answer};
 use crate::id::{LaneId, SessionId};
-use crate::request::{CallerRequest, ErrorReply, SessionStart, TransactionState};
+use crate::request::{ClientRequest, ErrorReply, SessionStart, TransactionState};
 
 /// Number of past requests that `explain` shows for a session.
 const HISTORY_LENGTH: usize = 8;
@@ -353,7 +353,7 @@
     pub(crate) fn run_command(
         &mut self,
         session: &mut Session,
-        request: &CallerRequest,
+        request: &ClientRequest,
         command: &SessionCommand,
     ) -> Result<Bytes, ErrorReply> {
         match command {
--- a/crates/node/src/step.rs
+++ b/crates/node/src/step.rs
@@ -4,14 +4,14 @@
 
 use crate::entry::AttemptPath;
 use crate::id::{LaneId, SessionId};
-use crate::request::WorkReply;
+use crate::request::OwnerReply;
 
 #[derive(Debug)]
 pub(crate) enum PendingStep {
     /// Route a session's request.
     Route(SessionId),
     /// Pass the local owner's reply to a session.
-    Reply { session: SessionId, path: AttemptPath, reply: WorkReply, lane: Option<LaneId> },
+    Reply { session: SessionId, path: AttemptPath, reply: OwnerReply, lane: Option<LaneId> },
     /// Grant slots and connections of a database to waiting requests.
     ServeQueue(Name),
 }
--- a/crates/node/tests/driver/mod.rs
+++ b/crates/node/tests/driver/mod.rs
@@ -481,7 +481,7 @@
                 let to = to.name.to_string();
                 self.schedule(NETWORK_DELAY, ScheduledItem::View { from: node, to, cluster });
             }
-            NodeAction::Forward { call, session, to, lane, work } => {
+            NodeAction::Forward { call, session, to, lane, request } => {
                 let peer = self.index(&to.name);
                 if self.killed[peer] {
                     let event = NodeEvent::ForwardFailed { call, sent: false };
@@ -493,7 +493,7 @@
                 self.outgoing.insert((node, call), (peer, incoming));
                 let lane = lane.map(|lane| self.lanes[&(node, lane)].1);
                 let from = self.names[node].as_str().into();
-                let event = NodeEvent::ForwardArrived { call: incoming, from, lane, work };
+                let event = NodeEvent::ForwardArrived { call: incoming, from, lane, request };
                 self.schedule_event(NETWORK_DELAY, peer, event);
             }
             NodeAction::CancelForward { call } => {
@@ -886,7 +886,7 @@
     }
 
     pub fn dump(&self, node: usize) -> serde_json::Value {
-        self.nodes[node].answer(self.now, &OperatorCall::Dump)
+        self.nodes[node].answer(self.now, &OperatorQuery::Dump)
     }
 
     /// Stops a database and breaks its connections.
@@ -937,12 +937,12 @@
     /// Returns the node that owns a database according to the first running node.
     pub fn owner_of(&self, database: &str) -> usize {
         let node = (0..self.nodes.len()).find(|at| !self.killed[*at]).unwrap();
-        let call = OperatorCall::Explain {
+        let query = OperatorQuery::Explain {
             attributes: Default::default(),
             labels: Default::default(),
             cluster: "billing".into(),
         };
-        let answer = self.nodes[node].answer(self.now, &call);
+        let answer = self.nodes[node].answer(self.now, &query);
         self.index(answer["databases"][database]["owner"].as_str().unwrap())
     }
 
@@ -963,10 +963,10 @@
     }
 }
 
-pub fn simple(text: &str) -> CallerRequest {
+pub fn simple(text: &str) -> ClientRequest {
     let mut frames = vec![b'Q'];
     frames.extend_from_slice(&(text.len() as u32 + 5).to_be_bytes());
     frames.extend_from_slice(text.as_bytes());
     frames.push(0);
-    CallerRequest { kind: RequestKind::Simple, text: text.into(), frames: frames.into() }
+    ClientRequest { kind: RequestKind::Simple, text: text.into(), frames: frames.into() }
 }
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -6,7 +6,7 @@
 
 use driver::{Driver, envelope, fleet_text};
 use model::Micros;
-use node::{NodeEvent, OperatorCall, SessionId, TransactionState};
+use node::{NodeEvent, OperatorQuery, SessionId, TransactionState};
 
 fn millis(count: u64) -> Micros {
     Micros::from_millis(count)
@@ -512,7 +512,7 @@
 fn configuration_changes_take_effect() {
     let mut driver = Driver::start(2);
     let revision = |driver: &Driver| {
-        driver.nodes[0].answer(driver.now, &OperatorCall::Rollout)["revision"].clone()
+        driver.nodes[0].answer(driver.now, &OperatorQuery::Rollout)["revision"].clone()
     };
     let leaving = fleet_text("").replacen(r#""labels""#, r#""leaving": true, "labels""#, 1);
     deliver_configuration(&mut driver, 3, &leaving);
@@ -645,12 +645,12 @@
 #[test]
 fn explain_names_labels_and_obstacles() {
     let driver = Driver::start(2);
-    let call = OperatorCall::Explain {
+    let query = OperatorQuery::Explain {
         attributes: model::LabelSet::from_pairs([("user", "kiosk")]),
         labels: model::LabelSet::from_pairs([("kind", "aged"), ("town", "oshakati")]),
         cluster: "billing".into(),
     };
-    let mut answer = driver.nodes[0].answer(driver.now, &call);
+    let mut answer = driver.nodes[0].answer(driver.now, &query);
     // The owners depend on a hash function of another crate.
     for name in ["db1", "db2", "db3"] {
         answer["databases"][name]["owner"] = "-".into();
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -16,7 +16,7 @@
 use futures::io::{BufReader, BufWriter};
 use member::{Heartbeat, MemberInfo};
 use model::{FastMap, SocketAddress};
-use node::{WorkReply, WorkRequest};
+use node::{OwnerReply, RoutedRequest};
 use schema::peer_capnp::{answer_sink, lane, peer};
 use stakker::{Core, Deferrer, FixedTimerKey};
 use stakker_mio::MioPoll;
@@ -58,7 +58,7 @@
 
 /// Result of a forwarded request.
 pub struct ForwardReply {
-    pub reply: WorkReply,
+    pub reply: OwnerReply,
     /// The lane of the transaction, if it is still open.
     pub lane: Option<LaneHandle>,
 }
@@ -255,7 +255,7 @@
         core: &mut Core,
         address: SocketAddress,
         sender: &str,
-        routed: &WorkRequest,
+        routed: &RoutedRequest,
         timeout: Duration,
         chunks: impl Fn(Bytes, ChunkPermit) + 'static,
         done: impl FnOnce(Result<ForwardReply, PeerCallError>) + 'static,
@@ -296,7 +296,7 @@
         &self,
         core: &mut Core,
         lane: &LaneHandle,
-        routed: &WorkRequest,
+        routed: &RoutedRequest,
         timeout: Duration,
         chunks: impl Fn(Bytes, ChunkPermit) + 'static,
         done: impl FnOnce(Result<ForwardReply, PeerCallError>) + 'static,
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -8,7 +8,8 @@
 use member::{Heartbeat, MemberInfo, MemberState};
 use model::{LabelSet, LogPosition, Micros, Name, Rank, RequiredPosition, SocketAddress, Term};
 use node::{
-    CallerRequest, DeclineReason, ErrorReply, RequestKind, TransactionState, WorkReply, WorkRequest,
+    ClientRequest, DeclineReason, ErrorReply, OwnerReply, RequestKind, RoutedRequest,
+    TransactionState,
 };
 use schema::peer_capnp as wire;
 
@@ -143,7 +144,7 @@
     RequiredPosition { term: Term(reader.get_term()), position: LogPosition(reader.get_position()) }
 }
 
-pub(crate) fn write_routed_request(mut builder: wire::work::Builder<'_>, routed: &WorkRequest) {
+pub(crate) fn write_routed_request(mut builder: wire::work::Builder<'_>, routed: &RoutedRequest) {
     builder.set_database(routed.database.as_str());
     builder.set_caller(routed.caller.as_str());
     let mut labels = builder.reborrow().init_labels(routed.labels.0.len() as u32);
@@ -180,7 +181,7 @@
     builder.set_frames(&routed.request.frames);
 }
 
-pub(crate) fn read_routed_request(reader: wire::work::Reader<'_>) -> Result<WorkRequest, Error> {
+pub(crate) fn read_routed_request(reader: wire::work::Reader<'_>) -> Result<RoutedRequest, Error> {
     let mut labels = LabelSet::default();
     for label in reader.get_labels()? {
         labels.0.insert(name(label.get_key()?)?, name(label.get_value()?)?);
@@ -193,7 +194,7 @@
         true => Some(name(reader.get_request_key()?)?),
         false => None,
     };
-    Ok(WorkRequest {
+    Ok(RoutedRequest {
         database: name(reader.get_database()?)?,
         caller: name(reader.get_caller()?)?,
         labels,
@@ -212,7 +213,7 @@
         session_age: read_optional_time(reader.get_arrived_ago()?)?,
         request_key,
         user: name(reader.get_user()?)?,
-        request: CallerRequest {
+        request: ClientRequest {
             kind: match reader.get_kind()? {
                 wire::RequestKind::Simple => RequestKind::Simple,
                 wire::RequestKind::Extended => RequestKind::Extended,
@@ -232,8 +233,8 @@
         DeclineReason::NotOwner { owner } => builder.set_not_owner(owner.as_str()),
         DeclineReason::Unavailable => builder.set_unavailable(()),
         DeclineReason::QueueFull { limit } => builder.set_queue_full(*limit),
-        DeclineReason::Deadline { expected } => builder.set_deadline(expected.0),
-        DeclineReason::Leaving => builder.set_leaving(()),
+        DeclineReason::DeadlineUnreachable { expected } => builder.set_deadline(expected.0),
+        DeclineReason::ShuttingDown => builder.set_leaving(()),
     }
 }
 
@@ -246,8 +247,10 @@
         wire::decline::NotOwner(owner) => DeclineReason::NotOwner { owner: name(owner?)? },
         wire::decline::Unavailable(()) => DeclineReason::Unavailable,
         wire::decline::QueueFull(limit) => DeclineReason::QueueFull { limit },
-        wire::decline::Deadline(expected) => DeclineReason::Deadline { expected: Micros(expected) },
-        wire::decline::Leaving(()) => DeclineReason::Leaving,
+        wire::decline::Deadline(expected) => {
+            DeclineReason::DeadlineUnreachable { expected: Micros(expected) }
+        }
+        wire::decline::Leaving(()) => DeclineReason::ShuttingDown,
     })
 }
 
@@ -267,9 +270,9 @@
     }
 }
 
-pub(crate) fn write_reply(mut builder: wire::reply::Builder<'_>, reply: &WorkReply) {
+pub(crate) fn write_reply(mut builder: wire::reply::Builder<'_>, reply: &OwnerReply) {
     match reply {
-        WorkReply::Done { transaction, required_position, replacement_position, age, wait } => {
+        OwnerReply::Done { transaction, required_position, replacement_position, age, wait } => {
             let mut done = builder.init_done();
             done.set_transaction(write_transaction_state(*transaction));
             if let Some(required) = required_position {
@@ -281,13 +284,13 @@
             done.set_wait(wait.0);
             write_optional_time(done.init_age(), *age);
         }
-        WorkReply::Declined { reason, age, wait } => {
+        OwnerReply::Declined { reason, age, wait } => {
             let mut declined = builder.init_declined();
             write_decline_reason(declined.reborrow().init_reason(), reason);
             declined.set_wait(wait.0);
             write_optional_time(declined.init_age(), *age);
         }
-        WorkReply::Recorded { command_tag, error, transaction, required_position } => {
+        OwnerReply::Recorded { command_tag, error, transaction, required_position } => {
             let mut recorded = builder.init_recorded();
             if let Some(tag) = command_tag {
                 recorded.set_command_tag(tag);
@@ -302,9 +305,9 @@
                 write_required_position(recorded.init_floor(), *required);
             }
         }
-        WorkReply::RolledBack { message } => builder.set_rolled_back(message),
-        WorkReply::Unknown { message } => builder.set_unknown(message),
-        WorkReply::ReadFailed { relayed, message } => {
+        OwnerReply::RolledBack { message } => builder.set_rolled_back(message),
+        OwnerReply::OutcomeUnknown { message } => builder.set_unknown(message),
+        OwnerReply::AnswerInterrupted { relayed, message } => {
             let mut failed = builder.init_read_failed();
             failed.set_relayed(*relayed);
             failed.set_message(message);
@@ -312,9 +315,9 @@
     }
 }
 
-pub(crate) fn read_reply(reader: wire::reply::Reader<'_>) -> Result<WorkReply, Error> {
+pub(crate) fn read_reply(reader: wire::reply::Reader<'_>) -> Result<OwnerReply, Error> {
     Ok(match reader.which()? {
-        wire::reply::Done(done) => WorkReply::Done {
+        wire::reply::Done(done) => OwnerReply::Done {
             transaction: read_transaction_state(done.get_transaction()?),
             required_position: match done.has_floor() {
                 true => Some(read_required_position(done.get_floor()?)),
@@ -327,12 +330,12 @@
             age: read_optional_time(done.get_age()?)?,
             wait: Micros(done.get_wait()),
         },
-        wire::reply::Declined(declined) => WorkReply::Declined {
+        wire::reply::Declined(declined) => OwnerReply::Declined {
             reason: read_decline_reason(declined.get_reason()?)?,
             age: read_optional_time(declined.get_age()?)?,
             wait: Micros(declined.get_wait()),
         },
-        wire::reply::Recorded(recorded) => WorkReply::Recorded {
+        wire::reply::Recorded(recorded) => OwnerReply::Recorded {
             command_tag: match recorded.has_command_tag() {
                 true => Some(text(recorded.get_command_tag()?)?.to_owned()),
                 false => None,
@@ -352,10 +355,12 @@
             },
         },
         wire::reply::RolledBack(message) => {
-            WorkReply::RolledBack { message: text(message?)?.to_owned() }
+            OwnerReply::RolledBack { message: text(message?)?.to_owned() }
+        }
+        wire::reply::Unknown(message) => {
+            OwnerReply::OutcomeUnknown { message: text(message?)?.to_owned() }
         }
-        wire::reply::Unknown(message) => WorkReply::Unknown { message: text(message?)?.to_owned() },
-        wire::reply::ReadFailed(failed) => WorkReply::ReadFailed {
+        wire::reply::ReadFailed(failed) => OwnerReply::AnswerInterrupted {
             relayed: failed.get_relayed(),
             message: text(failed.get_message()?)?.to_owned(),
         },
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -15,7 +15,7 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use member::{Heartbeat, MemberInfo};
 use model::{FastMap, Name};
-use node::{CallId, LaneId, WorkReply, WorkRequest};
+use node::{CallId, LaneId, OwnerReply, RoutedRequest};
 use schema::peer_capnp::{answer_sink, lane, peer};
 use stakker::Fwd;
 
@@ -69,7 +69,7 @@
     /// At most [`crate::CHUNK_BYTES`].
     Chunk(Bytes, ChunkPermit),
     /// End of the answer, with the lane of a transaction that stays open.
-    End(WorkReply, Option<LaneId>),
+    End(OwnerReply, Option<LaneId>),
 }
 
 /// A call or notification from a peer, passed to the daemon.
@@ -93,20 +93,20 @@
         call: CallId,
         from: Name,
         lane: Option<LaneId>,
-        work: Box<WorkRequest>,
+        request: Box<RoutedRequest>,
         answers: mpsc::UnboundedSender<AnswerPart>,
     },
     /// The peer asked to cancel the call and still waits for its reply.
-    Cancelled {
+    CallCancelled {
         call: CallId,
     },
     /// The peer dropped the call, or its connection was lost.
-    Dropped {
+    CallDropped {
         call: CallId,
     },
     /// The peer has received all chunks of a call's answer, so that only the reply remains, or the call
     /// ended without an answer.
-    Finished,
+    CallFinished,
     /// The peer dropped the lane, or its connection was lost.
     LaneDropped {
         lane: LaneId,
@@ -160,7 +160,7 @@
     fn drop(&mut self) {
         let unfinished = &self.server.ids.unfinished;
         unfinished.set(unfinished.get() - 1);
-        self.server.requests.fwd(PeerRequest::Finished);
+        self.server.requests.fwd(PeerRequest::CallFinished);
     }
 }
 
@@ -176,7 +176,7 @@
     fn drop(&mut self) {
         self.server.calls.borrow_mut().remove(&self.number);
         if !self.answered {
-            self.server.requests.fwd(PeerRequest::Dropped { call: self.call });
+            self.server.requests.fwd(PeerRequest::CallDropped { call: self.call });
         }
     }
 }
@@ -187,16 +187,16 @@
         from: Name,
         number: u64,
         lane: Option<LaneId>,
-        request: WorkRequest,
+        request: RoutedRequest,
         sink: answer_sink::Client,
-    ) -> Result<(WorkReply, Option<LaneId>), Error> {
+    ) -> Result<(OwnerReply, Option<LaneId>), Error> {
         let _unfinished = UnfinishedCall::new(self.clone());
         let call = CallId(self.ids.next());
         let (answers, mut parts) = mpsc::unbounded();
         self.calls.borrow_mut().insert(number, call);
         let mut reporter = DropReporter { call, number, server: self.clone(), answered: false };
-        let work = Box::new(request);
-        self.requests.fwd(PeerRequest::Execute { call, from, lane, work, answers });
+        let request = Box::new(request);
+        self.requests.fwd(PeerRequest::Execute { call, from, lane, request, answers });
         // The flow-control window of the answer's source bounds the number of writes in flight.
         let mut writes = FuturesUnordered::new();
         let end = loop {
@@ -289,7 +289,7 @@
     ) -> Result<(), Error> {
         let call = self.calls.borrow().get(&params.get()?.get_call()).copied();
         if let Some(call) = call {
-            self.requests.fwd(PeerRequest::Cancelled { call });
+            self.requests.fwd(PeerRequest::CallCancelled { call });
         }
         Ok(())
     }
--- a/crates/rpc/tests/peers.rs
+++ b/crates/rpc/tests/peers.rs
@@ -10,7 +10,9 @@
 use futures::channel::mpsc::UnboundedSender;
 use member::{Heartbeat, MemberInfo, MemberState};
 use model::{LabelSet, LogPosition, Micros, Rank, RequiredPosition, Term};
-use node::{CallId, CallerRequest, LaneId, RequestKind, TransactionState, WorkReply, WorkRequest};
+use node::{
+    CallId, ClientRequest, LaneId, OwnerReply, RequestKind, RoutedRequest, TransactionState,
+};
 use rpc::{
     AnswerPart, CallIds, ChunkPermit, ForwardReply, PeerCallError, PeerClients, PeerRequest,
     RpcStream, TaskPool, serve_peer,
@@ -72,21 +74,23 @@
 
     /// Expects the notification that a call's answer is complete or that the call ended without one.
     fn expect_finished(&mut self) {
-        assert!(matches!(self.next_request(), PeerRequest::Finished));
+        assert!(matches!(self.next_request(), PeerRequest::CallFinished));
     }
 
     fn next_execute(
         &mut self,
-    ) -> (CallId, Option<LaneId>, WorkRequest, UnboundedSender<AnswerPart>) {
+    ) -> (CallId, Option<LaneId>, RoutedRequest, UnboundedSender<AnswerPart>) {
         match self.next_request() {
-            PeerRequest::Execute { call, lane, work, answers, .. } => (call, lane, *work, answers),
+            PeerRequest::Execute { call, lane, request, answers, .. } => {
+                (call, lane, *request, answers)
+            }
             _ => panic!("expected a request to execute"),
         }
     }
 }
 
-fn routed_request() -> WorkRequest {
-    WorkRequest {
+fn routed_request() -> RoutedRequest {
+    RoutedRequest {
         database: "billing-1".into(),
         caller: "vendor/till/10.0.0.1".into(),
         labels: LabelSet::from_pairs([("kind", "vendor")]),
@@ -101,7 +105,7 @@
         session_age: None,
         request_key: Some("k1".into()),
         user: "vendor".into(),
-        request: CallerRequest {
+        request: ClientRequest {
             kind: RequestKind::Extended,
             text: "INSERT".into(),
             frames: Bytes::from_static(b"S\0\0\0\x04"),
@@ -109,8 +113,8 @@
     }
 }
 
-fn done_reply() -> WorkReply {
-    WorkReply::Done {
+fn done_reply() -> OwnerReply {
+    OwnerReply::Done {
         transaction: TransactionState::Open,
         required_position: None,
         replacement_position: Some(RequiredPosition { term: Term(2), position: LogPosition(5) }),
@@ -216,7 +220,9 @@
     harness.accept();
     let (call, _, _, answers) = harness.next_execute();
     forwarded.guard.as_ref().unwrap().cancel();
-    assert!(matches!(harness.next_request(), PeerRequest::Cancelled { call: id } if id == call));
+    assert!(
+        matches!(harness.next_request(), PeerRequest::CallCancelled { call: id } if id == call)
+    );
     answers.unbounded_send(AnswerPart::End(done_reply(), None)).ok().unwrap();
     let answer = forwarded.answer.clone();
     harness.run_until(|| answer.borrow().is_some());
@@ -227,7 +233,7 @@
     let mut forwarded = forward(&mut harness, None);
     let (call, _, _, _answers) = harness.next_execute();
     drop(forwarded.guard.take());
-    assert!(matches!(harness.next_request(), PeerRequest::Dropped { call: id } if id == call));
+    assert!(matches!(harness.next_request(), PeerRequest::CallDropped { call: id } if id == call));
     harness.expect_finished();
     assert!(forwarded.answer.borrow().is_none());
 }
