--- a/crates/admit/src/budget.rs
+++ b/crates/admit/src/budget.rs
@@ -22,7 +22,7 @@
 /// let retries = (0..100).filter(|_| budget.take_retry(Micros(0), Rank::Batch)).count();
 /// assert_eq!(retries, 10);
 /// for _ in 0..10 {
-///     budget.first_try(Micros(0), Rank::Batch);
+///     budget.count_first_attempt(Micros(0), Rank::Batch);
 /// }
 /// assert!(budget.take_retry(Micros(0), Rank::Batch));
 /// assert!(!budget.take_retry(Micros(0), Rank::Batch));
@@ -41,7 +41,7 @@
 
 impl RetryBudget {
     /// Counts a first attempt, which earns a part of a retry.
-    pub fn first_try(&mut self, _now: Micros, rank: Rank) {
+    pub fn count_first_attempt(&mut self, _now: Micros, rank: Rank) {
         self.tokens[rank] = (self.tokens[rank] + EARNED_TENTHS).min(BURST_RETRIES * COST_TENTHS);
     }
 
--- a/crates/admit/src/pool.rs
+++ b/crates/admit/src/pool.rs
@@ -22,7 +22,7 @@
     /// Most connections for requests, without report connections.
     pub limit: u32,
     /// Connections that stay open when idle.
-    pub keep: u32,
+    pub retained: u32,
     /// Time after which a surplus idle connection is closed.
     pub idle_timeout: Micros,
 }
@@ -56,7 +56,7 @@
 /// use admit::*;
 /// use model::Micros;
 ///
-/// let config = PoolConfig { limit: 2, keep: 1, idle_timeout: Micros::from_secs(30) };
+/// let config = PoolConfig { limit: 2, retained: 1, idle_timeout: Micros::from_secs(30) };
 /// let mut pool = ConnectionPool::new(config);
 /// let (mut next_id, mut actions) = (1, Vec::new());
 /// assert_eq!(pool.take(Micros(0), 3, &mut next_id, &mut actions), None);
@@ -143,7 +143,7 @@
     }
 
     /// Releases a connection, which becomes idle.
-    pub fn put(&mut self, now: Micros, connection: ConnectionId) {
+    pub fn release(&mut self, now: Micros, connection: ConnectionId) {
         let state = self.connections.get_mut(&connection);
         if let Some(state) = state.filter(|state| **state == ConnectionState::Taken) {
             *state = ConnectionState::Idle;
@@ -151,8 +151,8 @@
         }
     }
 
-    /// A connection failed, was closed or must not be used again.
-    pub fn lost(&mut self, now: Micros, connection: ConnectionId) {
+    /// Removes a connection that failed, was closed or must not be used again.
+    pub fn remove(&mut self, now: Micros, connection: ConnectionId) {
         match self.connections.remove(&connection) {
             Some(ConnectionState::Opening) => {
                 self.opening -= 1;
@@ -165,12 +165,12 @@
         }
     }
 
-    /// Closes idle connections above the limit, and those above `keep` that were idle for
+    /// Closes idle connections above the limit, and those above `retained` that were idle for
     /// `idle_timeout`, least recently used first.
     pub fn trim(&mut self, now: Micros, actions: &mut Vec<PoolAction>) {
         while let Some(&(connection, since)) = self.idle.front() {
             let count = self.connections.len() as u32;
-            let surplus = count > self.config.keep && now >= since + self.config.idle_timeout;
+            let surplus = count > self.config.retained && now >= since + self.config.idle_timeout;
             if !surplus && count <= self.config.limit {
                 break;
             }
@@ -187,7 +187,7 @@
         if count > self.config.limit {
             return Some(Micros::ZERO);
         }
-        (count > self.config.keep).then(|| *since + self.config.idle_timeout)
+        (count > self.config.retained).then(|| *since + self.config.idle_timeout)
     }
 
     /// Returns when [`ConnectionPool::take`] opens connections again after failures; call it then if
--- a/crates/admit/tests/pool.rs
+++ b/crates/admit/tests/pool.rs
@@ -39,7 +39,7 @@
     #[test]
     fn no_connection_leaks(steps in prop::collection::vec(step(), 1..200)) {
         let timeout = Micros::from_secs(30);
-        let mut config = PoolConfig { limit: 8, keep: 2, idle_timeout: timeout };
+        let mut config = PoolConfig { limit: 8, retained: 2, idle_timeout: timeout };
         let mut pool = ConnectionPool::new(config);
         let (mut opening, mut idle, mut taken) = (VecDeque::new(), Vec::new(), Vec::new());
         let (mut now, mut next_id) = (Micros(0), 0);
@@ -62,8 +62,8 @@
                 }
                 PoolStep::Put(index) if !taken.is_empty() => {
                     let connection = taken.swap_remove(index % taken.len());
-                    pool.put(now, connection);
-                    pool.put(now, connection);
+                    pool.release(now, connection);
+                    pool.release(now, connection);
                     idle.push(connection);
                 }
                 PoolStep::Lost(index) if total > 0 => {
@@ -75,13 +75,13 @@
                     } else {
                         taken.swap_remove(index - opening.len() - idle.len())
                     };
-                    pool.lost(now, connection);
+                    pool.remove(now, connection);
                 }
                 PoolStep::UnknownConnection(id) => {
                     let connection = ConnectionId(1_000_000 + id);
                     pool.opened(now, connection);
-                    pool.put(now, connection);
-                    pool.lost(now, connection);
+                    pool.release(now, connection);
+                    pool.remove(now, connection);
                 }
                 PoolStep::Trim => {
                     pool.trim(now, &mut actions);
@@ -122,7 +122,7 @@
         for first in tries {
             let (mut firsts, mut retries) = *history.last().unwrap();
             if first {
-                budget.first_try(Micros(0), Rank::Urgent);
+                budget.count_first_attempt(Micros(0), Rank::Urgent);
                 firsts += 1;
             } else {
                 retries += u64::from(budget.take_retry(Micros(0), Rank::Urgent));
@@ -140,7 +140,7 @@
 // Guards against a burst of connection attempts to a database that refuses them.
 #[test]
 fn failed_opens_back_off() {
-    let config = PoolConfig { limit: 8, keep: 2, idle_timeout: Micros::from_secs(30) };
+    let config = PoolConfig { limit: 8, retained: 2, idle_timeout: Micros::from_secs(30) };
     let mut pool = ConnectionPool::new(config);
     let (mut next_id, mut opens) = (0, 0);
     for millis in 0..20_000 {
@@ -150,7 +150,7 @@
         for action in actions {
             let PoolAction::Open(connection) = action else { panic!("closed {action:?}") };
             opens += 1;
-            pool.lost(now, connection);
+            pool.remove(now, connection);
         }
     }
     assert!((8..=20).contains(&opens), "{opens} attempts in 20 s");
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -167,7 +167,7 @@
             leaving: false,
             age: Some(Micros::from_millis(20)),
             wait: Micros(index as u64),
-            avoid: false,
+            excluded: false,
             labels: LabelSet::default(),
         })
         .collect();
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -94,9 +94,9 @@
 /// Input of a [`Supervisor`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum SupervisorEvent {
-    /// The cluster monitor suspects the primary of `term`. `order` is this node's position among the
-    /// supervisors, from 0.
-    PrimarySuspected { term: Term, order: u32 },
+    /// The cluster monitor suspects the primary of `term`. `supervisor_index` is this node's index
+    /// among the supervisors.
+    PrimarySuspected { term: Term, supervisor_index: u32 },
     /// The cluster monitor no longer suspects the primary.
     SuspicionCleared,
     /// The confirmed leader of `term` is leaving and this node owns its database. May be
@@ -191,7 +191,7 @@
 /// let databases = ["a", "b", "c"].map(Name::from).to_vec();
 /// let mut supervisor = Supervisor::new("node-1".into(), databases, 1);
 /// let mut actions = Vec::new();
-/// let event = SupervisorEvent::PrimarySuspected { term: Term(4), order: 0 };
+/// let event = SupervisorEvent::PrimarySuspected { term: Term(4), supervisor_index: 0 };
 /// supervisor.handle(Micros(1), event, &mut actions);
 /// assert_eq!(actions, [SupervisorAction::RequestViews]);
 /// assert_eq!(supervisor.step(), "views");
@@ -292,15 +292,15 @@
         );
         let writing = self.awaits_write();
         match event {
-            SupervisorEvent::PrimarySuspected { term, order } => {
+            SupervisorEvent::PrimarySuspected { term, supervisor_index } => {
                 self.observe_term(term);
                 self.suspected = true;
                 if self.step == PromotionStep::Idle && now >= self.paused_until {
-                    let until = now + Micros(TURN_TIMEOUT.0 * u64::from(order));
+                    let until = now + Micros(TURN_TIMEOUT.0 * u64::from(supervisor_index));
                     self.step = PromotionStep::Waiting { until };
                 } else if let PromotionStep::Waiting { until } = &mut self.step {
                     // This node may have moved up among the supervisors since.
-                    let earlier = now + Micros(TURN_TIMEOUT.0 * u64::from(order));
+                    let earlier = now + Micros(TURN_TIMEOUT.0 * u64::from(supervisor_index));
                     *until = (*until).min(earlier.max(self.paused_until));
                 }
             }
--- a/crates/failover/tests/record.rs
+++ b/crates/failover/tests/record.rs
@@ -32,7 +32,7 @@
 
     /// Brings a promotion of the term after `term` to its first call to the platform.
     fn suspect(&mut self, term: u64) {
-        self.handle(SupervisorEvent::PrimarySuspected { term: Term(term), order: 0 });
+        self.handle(SupervisorEvent::PrimarySuspected { term: Term(term), supervisor_index: 0 });
         for from in ["vm-2", "vm-3"] {
             self.handle(SupervisorEvent::ViewArrived { from: from.into(), view: None });
         }
--- a/crates/failover/tests/supervisor.rs
+++ b/crates/failover/tests/supervisor.rs
@@ -12,7 +12,7 @@
 };
 use model::{LogPosition, Micros, Name, Term};
 
-const SUSPECTED: SupervisorEvent = PrimarySuspected { term: Term(4), order: 0 };
+const SUSPECTED: SupervisorEvent = PrimarySuspected { term: Term(4), supervisor_index: 0 };
 
 fn report(term: u64, log_term: u64, received: u64) -> DatabaseReport {
     DatabaseReport {
@@ -206,7 +206,7 @@
     add_case(
         "first election: no record and no primary",
         run(vec![
-            (0, PrimarySuspected { term: Term(0), order: 0 }),
+            (0, PrimarySuspected { term: Term(0), supervisor_index: 0 }),
             (300, Timer),
             (302, RecordRead { record: None, index: 0 }),
         ]),
@@ -214,8 +214,8 @@
     add_case(
         "third supervisor: waits two steps, suspicion cleared",
         run(vec![
-            (0, PrimarySuspected { term: Term(4), order: 2 }),
-            (250, PrimarySuspected { term: Term(4), order: 2 }),
+            (0, PrimarySuspected { term: Term(4), supervisor_index: 2 }),
+            (250, PrimarySuspected { term: Term(4), supervisor_index: 2 }),
             (5_999, Timer),
             (6_000, Timer),
             (6_001, SuspicionCleared),
@@ -273,7 +273,7 @@
     add_case(
         "record behind the databases: one above the highest term seen",
         run(vec![
-            (0, PrimarySuspected { term: Term(9), order: 0 }),
+            (0, PrimarySuspected { term: Term(9), supervisor_index: 0 }),
             (300, Timer),
             (302, leading(4)),
             (303, RecordWritten { applied: false }),
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -656,8 +656,11 @@
                     self.drive_supervisor(node, SupervisorEvent::LeaderConfirmed { term, leader });
                 }
                 MonitorAction::PrimarySuspected { term } => {
-                    let order = node as u32;
-                    self.drive_supervisor(node, SupervisorEvent::PrimarySuspected { term, order });
+                    let supervisor_index = node as u32;
+                    self.drive_supervisor(
+                        node,
+                        SupervisorEvent::PrimarySuspected { term, supervisor_index },
+                    );
                 }
                 MonitorAction::SuspicionCleared => {
                     self.drive_supervisor(node, SupervisorEvent::SuspicionCleared);
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -139,10 +139,10 @@
             MonitorAction::PrimarySuspected { term } => {
                 let Some(state) = self.clusters.get(cluster) else { return };
                 let supervisors = self.supervisors(&state.config);
-                let place = supervisors.iter().position(|node| *node == self.settings.name);
-                if let Some(place) = place {
-                    let order = u32::try_from(place).unwrap_or(u32::MAX);
-                    let event = SupervisorEvent::PrimarySuspected { term, order };
+                let index = supervisors.iter().position(|node| *node == self.settings.name);
+                if let Some(index) = index {
+                    let supervisor_index = u32::try_from(index).unwrap_or(u32::MAX);
+                    let event = SupervisorEvent::PrimarySuspected { term, supervisor_index };
                     self.handle_supervisor_event(cluster, event);
                 }
             }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -14,7 +14,7 @@
 use admit::{RequestId, RetryBudget};
 use bytes::Bytes;
 use model::{FastMap, Micros, Name};
-use route::{StatementClass, WorkPolicy, classify};
+use route::{RequestPolicy, StatementClass, classify};
 use stats::CallerMeasure;
 
 use crate::Node;
@@ -62,7 +62,7 @@
     /// The statement may write, so the COMMIT of its transaction has to be acknowledged.
     may_write: bool,
     pub key: Option<Name>,
-    pub policy: Arc<WorkPolicy>,
+    pub policy: Arc<RequestPolicy>,
     arrived: Micros,
     pub deadline: Micros,
     pub attempt: Option<EntryAttempt>,
@@ -168,7 +168,7 @@
                 session.request = Some(request);
                 self.sessions.insert(id, session);
                 if read {
-                    self.entry.budget.first_try(self.now, rank);
+                    self.entry.budget.count_first_attempt(self.now, rank);
                 }
                 self.arm_session(id);
                 self.steps.push_back(PendingStep::Route(id));
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -2,7 +2,7 @@
 
 use member::MemberInfo;
 use model::{Micros, Name};
-use route::{WorkPolicy, choose_database};
+use route::{RequestPolicy, choose_database};
 
 use super::{ANSWER_GRACE, AttemptPath, EntryAttempt, EntryRequest, ForwardedCall};
 use crate::Node;
@@ -76,11 +76,12 @@
         if request.read {
             let mut hints = self.entry.hints.cluster(self.now, cluster, leader.as_ref());
             for hint in &mut hints {
-                hint.avoid |= !untried(&hint.database);
+                hint.excluded |= !untried(&hint.database);
             }
             let choice = match request.primary_only {
                 true => {
-                    let policy = WorkPolicy { max_age: Micros::ZERO, ..(*request.policy).clone() };
+                    let policy =
+                        RequestPolicy { max_age: Micros::ZERO, ..(*request.policy).clone() };
                     choose_database(&policy, true, None, &self.settings.data_centre, &hints)
                 }
                 false => choose_database(
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -78,7 +78,7 @@
         }
         let database = backend.database.clone();
         if let Some(service) = self.owner.services.get_mut(&database) {
-            service.pool.put(self.now, connection);
+            service.pool.release(self.now, connection);
         }
         self.steps.push_back(PendingStep::ServeQueue(database));
     }
--- a/crates/node/src/hints.rs
+++ b/crates/node/src/hints.rs
@@ -112,7 +112,7 @@
                     leaving: database.leaving,
                     age: fresh.and_then(|status| status.age),
                     wait: fresh.map(|status| status.wait).unwrap_or_default(),
-                    avoid: status.is_some_and(|status| status.excluded_until > now),
+                    excluded: status.is_some_and(|status| status.excluded_until > now),
                     labels: database.labels.clone(),
                 }
             })
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -202,10 +202,10 @@
         match owned {
             true => PoolConfig {
                 limit: limit.max(1),
-                keep: config.slots.min(limit.max(1)),
+                retained: config.slots.min(limit.max(1)),
                 idle_timeout: IDLE_TIMEOUT,
             },
-            false => PoolConfig { limit: limit.max(1), keep: 0, idle_timeout: Micros::ZERO },
+            false => PoolConfig { limit: limit.max(1), retained: 0, idle_timeout: Micros::ZERO },
         }
     }
 
@@ -294,7 +294,7 @@
         }
         service.owned = false;
         let limit = service.config.connections.max(1);
-        service.pool.reconfigure(PoolConfig { limit, keep: 0, idle_timeout: Micros::ZERO });
+        service.pool.reconfigure(PoolConfig { limit, retained: 0, idle_timeout: Micros::ZERO });
         let unsent: Vec<RequestId> = self
             .owner
             .requests
--- a/crates/node/src/owner/pool.rs
+++ b/crates/node/src/owner/pool.rs
@@ -59,7 +59,7 @@
         let Some(backend) = self.owner.connections.remove(&connection) else { return };
         let database = backend.database;
         if let Some(service) = self.owner.services.get_mut(&database) {
-            service.pool.lost(self.now, connection);
+            service.pool.remove(self.now, connection);
         }
         self.count("backends.lost", 1);
         if let Some(key) = backend.pin {
@@ -80,7 +80,7 @@
     pub(crate) fn close_connection(&mut self, connection: ConnectionId) {
         let Some(backend) = self.owner.connections.remove(&connection) else { return };
         if let Some(service) = self.owner.services.get_mut(&backend.database) {
-            service.pool.lost(self.now, connection);
+            service.pool.remove(self.now, connection);
         }
         self.emit(NodeAction::CloseBackend { connection });
         self.steps.push_back(PendingStep::ServeQueue(backend.database));
--- a/crates/node/src/session.rs
+++ b/crates/node/src/session.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use model::{LabelSet, Micros, Name, RequiredPosition};
-use route::{SessionCommand, SessionToken, WorkPolicy};
+use route::{RequestPolicy, SessionCommand, SessionToken};
 use serde_json::Value;
 
 use crate::Node;
@@ -69,7 +69,7 @@
     /// Revision of the configuration from which `labels` and `policy` were computed.
     pub revision: u64,
     pub labels: LabelSet,
-    pub policy: Arc<WorkPolicy>,
+    pub policy: Arc<RequestPolicy>,
     pub transaction: Option<SessionTransaction>,
     pub request: Option<EntryRequest>,
     pub notices: Vec<ErrorReply>,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -7,6 +7,6 @@
 
 pub use classify::{SessionCommand, StatementClass, classify};
 pub use policy::{
-    DatabaseHint, RouteChoice, SelectorTable, WorkPolicy, choose_database, replica_obstacle,
+    DatabaseHint, RequestPolicy, RouteChoice, SelectorTable, choose_database, replica_obstacle,
 };
 pub use token::{SessionToken, TokenError, TokenKey, TokenKeys};
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -4,7 +4,7 @@
 
 /// How a request is served.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkPolicy {
+pub struct RequestPolicy {
     /// The selector that matched; `default` if none did.
     pub selector: Name,
     pub rank: Rank,
@@ -15,9 +15,9 @@
     pub servers: LabelSelector,
 }
 
-impl Default for WorkPolicy {
+impl Default for RequestPolicy {
     fn default() -> Self {
-        WorkPolicy {
+        RequestPolicy {
             selector: "default".into(),
             rank: Rank::Interactive,
             max_age: Micros::ZERO,
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct SelectorTable {
     callers: Vec<(LabelSelector, LabelSet)>,
-    selectors: Vec<(LabelSelector, WorkPolicy)>,
+    selectors: Vec<(LabelSelector, RequestPolicy)>,
 }
 
 impl SelectorTable {
@@ -51,7 +51,7 @@
         let callers =
             config.callers.iter().map(|caller| (caller.matches.clone(), caller.labels.clone()));
         let selectors = config.selectors.iter().map(|selector| {
-            let policy = WorkPolicy {
+            let policy = RequestPolicy {
                 selector: selector.name.clone(),
                 rank: selector.rank,
                 max_age: selector.max_age,
@@ -95,7 +95,7 @@
     }
 
     /// Returns the policy of the first selector that matches.
-    pub fn policy(&self, labels: &LabelSet) -> WorkPolicy {
+    pub fn policy(&self, labels: &LabelSet) -> RequestPolicy {
         let found = self.selectors.iter().find(|(matches, _)| matches.matches(labels));
         found.map(|(_, policy)| policy.clone()).unwrap_or_default()
     }
@@ -113,7 +113,7 @@
     /// Expected wait for a slot.
     pub wait: Micros,
     /// The owner declined or failed within the last second.
-    pub avoid: bool,
+    pub excluded: bool,
     pub labels: LabelSet,
 }
 
@@ -131,7 +131,7 @@
 /// is promoted. The selector's `servers` apply only to replicas, because the primary serves all reads
 /// that no replica can.
 pub fn choose_database(
-    policy: &WorkPolicy,
+    policy: &RequestPolicy,
     read: bool,
     required: Option<RequiredPosition>,
     own_data_centre: &Name,
@@ -184,13 +184,13 @@
 ///     leaving: true,
 ///     age: None,
 ///     wait: Micros::ZERO,
-///     avoid: false,
+///     excluded: false,
 ///     labels: LabelSet::default(),
 /// };
-/// let policy = route::WorkPolicy { max_age: Micros::from_secs(5), ..Default::default() };
+/// let policy = route::RequestPolicy { max_age: Micros::from_secs(5), ..Default::default() };
 /// assert_eq!(route::replica_obstacle(&policy, &hint), Some("the backend server is leaving"));
 /// ```
-pub fn replica_obstacle(policy: &WorkPolicy, hint: &DatabaseHint) -> Option<&'static str> {
+pub fn replica_obstacle(policy: &RequestPolicy, hint: &DatabaseHint) -> Option<&'static str> {
     if hint.leader {
         Some("it is the primary")
     } else if policy.max_age == Micros::ZERO {
@@ -199,7 +199,7 @@
         Some("the backend server is leaving")
     } else if !policy.servers.matches(&hint.labels) {
         Some("the selector's servers do not match its labels")
-    } else if hint.avoid {
+    } else if hint.excluded {
         Some("its owner declined or failed within the last second")
     } else if hint.age.is_some_and(|age| age > policy.max_age) {
         Some("its provable data age was above the accepted age")
