--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -134,7 +134,7 @@
                 return None;
             }
         };
-        socket.push(startup_packet(&user, &catalog), rpc::ChunkPermit::free());
+        socket.push(startup_packet(&user, &catalog), rpc::ChunkPermit::untracked());
         let window = RelayWindow::new(fwd_to!([cx], resume() as ()));
         after!(OPEN_TIMEOUT, [cx], check_open_timeout());
         Some(BackendConnection {
@@ -299,7 +299,7 @@
         let invalid = |error: pg::BodyError| error.to_string();
         match frame.kind {
             kind::PARSE_COMPLETE | kind::CLOSE_COMPLETE => {
-                if self.statements.answered(frame.kind) {
+                if self.statements.record_answer(frame.kind) {
                     self.emit(cx, frame.bytes)?;
                 }
             }
@@ -330,7 +330,7 @@
                         self.address, error.message, error.code
                     ));
                 }
-                self.statements.answered(kind::ERROR);
+                self.statements.record_answer(kind::ERROR);
                 if active.copy_refused {
                     self.refuse_copy(cx)?;
                     return Ok(());
@@ -347,7 +347,7 @@
                     // The backend server ignored the request's own Sync while it expected data.
                     pg::put_sync(&mut output);
                 }
-                self.socket.push(output.freeze(), rpc::ChunkPermit::free());
+                self.socket.push(output.freeze(), rpc::ChunkPermit::untracked());
                 self.flush(cx);
             }
             kind::COPY_OUT => active.copy_refused = true,
@@ -499,8 +499,8 @@
             extended: frames.first() != Some(&kind::QUERY),
             statement_completed: false,
         }));
-        let frames = self.statements.plan(frames);
-        self.socket.push(frames, rpc::ChunkPermit::free());
+        let frames = self.statements.rewrite(frames);
+        self.socket.push(frames, rpc::ChunkPermit::untracked());
         self.flush(cx);
     }
 
@@ -549,7 +549,7 @@
     pub(crate) fn close(&mut self, cx: CX![]) {
         let mut output = BytesMut::new();
         pg::put_terminate(&mut output);
-        self.socket.push(output.freeze(), rpc::ChunkPermit::free());
+        self.socket.push(output.freeze(), rpc::ChunkPermit::untracked());
         // The socket is dropped next, so a Terminate message that cannot be written is lost without
         // harm.
         let _ = self.socket.flush();
--- a/crates/daemon/src/driver/backends.rs
+++ b/crates/daemon/src/driver/backends.rs
@@ -54,7 +54,7 @@
     pub(super) fn apply_relay_decision(&mut self, cx: CX![], exchange: ExchangeId, relayed: bool) {
         if let Some(HeldEntry { answer, .. }) = self.held_answers.remove(&exchange) {
             if relayed {
-                answer.sink.send(cx, answer.bytes, ChunkPermit::free());
+                answer.sink.send(cx, answer.bytes, ChunkPermit::untracked());
             }
             return;
         }
@@ -135,7 +135,7 @@
         let target = self.answer_targets.remove(&exchange);
         if let (Some(answer), Some(target)) = (held, target) {
             match entry.relayed {
-                Some(true) => answer.sink.send(cx, answer.bytes, ChunkPermit::free()),
+                Some(true) => answer.sink.send(cx, answer.bytes, ChunkPermit::untracked()),
                 Some(false) => {}
                 None => {
                     self.held_answers.insert(exchange, HeldEntry { target, answer });
--- a/crates/daemon/src/driver/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -140,7 +140,7 @@
     }
 
     pub(super) fn finish_if_empty(&mut self, cx: CX![]) {
-        if self.finished && self.sessions.is_empty() && self.call_ids.unfinished() == 0 {
+        if self.finished && self.sessions.is_empty() && self.call_ids.unfinished_count() == 0 {
             self.counters.flush();
             // The last message of an answer to a peer may not have been written yet.
             after!(FINAL_REPLY_GRACE, [cx], stop_process());
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -151,7 +151,7 @@
                 return None;
             }
         };
-        socket.push(startup_packet(&user, &catalog), rpc::ChunkPermit::free());
+        socket.push(startup_packet(&user, &catalog), rpc::ChunkPermit::untracked());
         Some(ReportConnection {
             database,
             address,
@@ -182,7 +182,7 @@
     fn write_request(&mut self, request: &ReportRequest) {
         let mut output = BytesMut::new();
         pg::put_query(&mut output, &request.statement());
-        self.socket.push(output.freeze(), rpc::ChunkPermit::free());
+        self.socket.push(output.freeze(), rpc::ChunkPermit::untracked());
     }
 
     fn check_timeout(&mut self, cx: CX![]) {
--- a/crates/daemon/src/session.rs
+++ b/crates/daemon/src/session.rs
@@ -250,7 +250,7 @@
         match pg::split_first_packet(&mut self.socket.input) {
             Ok(None) => false,
             Ok(Some(FirstPacket::SslRequest | FirstPacket::GssEncRequest)) => {
-                self.push(cx, Bytes::from_static(b"N"), ChunkPermit::free());
+                self.push(cx, Bytes::from_static(b"N"), ChunkPermit::untracked());
                 true
             }
             Ok(Some(FirstPacket::Cancel { process, secret })) => {
@@ -314,7 +314,7 @@
         if minor > 0 || !unsupported.is_empty() {
             let mut output = BytesMut::new();
             pg::put_negotiate_version(&mut output, unsupported);
-            self.push(cx, output.freeze(), ChunkPermit::free());
+            self.push(cx, output.freeze(), ChunkPermit::untracked());
         }
         self.state = SessionState::Opening;
         call!([self.driver, cx], node_event(NodeEvent::SessionOpened { session: self.id, start }));
@@ -392,7 +392,7 @@
         match pg::read_query(frame.body()) {
             Ok(text) => {
                 let text = Arc::from(text);
-                self.statements.simple_query();
+                self.statements.remove_unnamed();
                 self.submit_request(cx, RequestKind::Simple, text, frame.bytes, false);
             }
             Err(error) => self.send_fatal(cx, "08P01", &error.to_string()),
@@ -431,7 +431,7 @@
     fn ready_for_query(&mut self, cx: CX![]) {
         let mut output = BytesMut::new();
         pg::put_ready(&mut output, self.transaction);
-        self.push(cx, output.freeze(), ChunkPermit::free());
+        self.push(cx, output.freeze(), ChunkPermit::untracked());
     }
 
     /// Sends a fatal error and then closes the connection.
@@ -449,7 +449,7 @@
         self.messages = Vec::new();
         self.socket.input = BytesMut::new();
         if self.scanner.is_between_frames() {
-            self.push(cx, output, ChunkPermit::free());
+            self.push(cx, output, ChunkPermit::untracked());
         }
         after!(CLOSING_TIMEOUT, [cx], closing_timed_out());
         self.flush(cx);
@@ -471,7 +471,7 @@
         }
         pg::put_backend_key(&mut output, self.process_id, self.secret);
         pg::put_ready(&mut output, self.transaction);
-        self.push(cx, output.freeze(), ChunkPermit::free());
+        self.push(cx, output.freeze(), ChunkPermit::untracked());
         self.state = SessionState::Idle;
         self.read(cx);
     }
@@ -516,7 +516,7 @@
         let ClientSession { scanner, statements, request_failed, .. } = self;
         scanner.scan(bytes, |answer_kind| {
             *request_failed |= answer_kind == kind::ERROR;
-            statements.answered(answer_kind);
+            statements.record_answer(answer_kind);
         });
     }
 
@@ -563,7 +563,7 @@
         } else {
             pg::put_ready(&mut output, self.transaction);
         }
-        self.push(cx, output.freeze(), ChunkPermit::free());
+        self.push(cx, output.freeze(), ChunkPermit::untracked());
         self.state = SessionState::Idle;
         self.answered_at = Some(cx.now());
         self.process(cx);
--- a/crates/pg/src/extended.rs
+++ b/crates/pg/src/extended.rs
@@ -125,7 +125,7 @@
 /// let mut table = pg::StatementTable::default();
 /// let request = table.rewrite(&[frame])?;
 /// assert_eq!(request.text, "SELECT 1");
-/// table.answered(pg::kind::PARSE_COMPLETE);
+/// table.record_answer(pg::kind::PARSE_COMPLETE);
 /// assert_eq!(table.len(), 1);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
@@ -159,7 +159,7 @@
     }
 
     /// Removes the unnamed statement, which a simple query destroys.
-    pub fn simple_query(&mut self) {
+    pub fn remove_unnamed(&mut self) {
         self.remove("");
         self.pending.clear();
     }
@@ -219,7 +219,7 @@
     }
 
     /// Records the type of a message that was relayed to the client.
-    pub fn answered(&mut self, answer_kind: u8) {
+    pub fn record_answer(&mut self, answer_kind: u8) {
         match answer_kind {
             kind::PARSE_COMPLETE | kind::CLOSE_COMPLETE => match self.pending.pop_front() {
                 Some(PendingChange::Parsed(name, text)) => {
@@ -396,10 +396,10 @@
 /// pg::put_parse(&mut buffer, "cicadawick_1", "SELECT 1", &[]);
 /// let frames = buffer.freeze();
 /// let mut statements = pg::ConnectionStatements::new(256);
-/// assert_eq!(statements.plan(frames.clone()), frames);
-/// assert!(!statements.answered(pg::kind::PARSE_COMPLETE));
+/// assert_eq!(statements.rewrite(frames.clone()), frames);
+/// assert!(!statements.record_answer(pg::kind::PARSE_COMPLETE));
 /// // The connection already has the statement, so the second `Parse` is dropped.
-/// assert!(statements.plan(frames).is_empty());
+/// assert!(statements.rewrite(frames).is_empty());
 /// ```
 #[derive(Debug)]
 pub struct ConnectionStatements {
@@ -442,7 +442,7 @@
 
     /// Turns the frames of an exchange into the frames to send to the backend server. Frames that are
     /// incomplete or do not belong to the extended protocol are returned unchanged.
-    pub fn plan(&mut self, frames: Bytes) -> Bytes {
+    pub fn rewrite(&mut self, frames: Bytes) -> Bytes {
         self.expected.clear();
         if matches!(frames.first(), None | Some(&kind::QUERY)) {
             return frames;
@@ -469,7 +469,7 @@
             match message.kind {
                 kind::PARSE => {
                     if let Ok(body) = read_parse(message.body())
-                        && !self.plan_parse(&mut sent, body.name, body.query, closed, &mut added)
+                        && !self.rewrite_parse(&mut sent, body.name, body.query, closed, &mut added)
                     {
                         continue;
                     }
@@ -491,7 +491,7 @@
     }
 
     /// Records the type of a message from the backend server. Returns whether to relay it to the client.
-    pub fn answered(&mut self, answer_kind: u8) -> bool {
+    pub fn record_answer(&mut self, answer_kind: u8) -> bool {
         match answer_kind {
             kind::PARSE_COMPLETE | kind::CLOSE_COMPLETE => match self.expected.pop_front() {
                 Some(ExpectedCompletion::Parse { relay, name }) => {
@@ -518,7 +518,7 @@
     }
 
     /// Returns whether to send the `Parse`.
-    fn plan_parse(
+    fn rewrite_parse(
         &mut self,
         sent: &mut BytesMut,
         name: &str,
--- a/crates/pg/tests/statements.rs
+++ b/crates/pg/tests/statements.rs
@@ -57,7 +57,7 @@
     fn run(&mut self, sent: Bytes) -> Vec<u8> {
         let mut answers = Vec::new();
         let mut portal = None;
-        for frame in frames(&self.statements.plan(sent)) {
+        for frame in frames(&self.statements.rewrite(sent)) {
             let answer = match frame.kind {
                 kind::PARSE => {
                     let body = pg::read_parse(frame.body()).unwrap();
@@ -86,7 +86,7 @@
                 }
                 _ => continue,
             };
-            if self.statements.answered(answer) {
+            if self.statements.record_answer(answer) {
                 answers.push(answer);
             }
             if answer == kind::ERROR {
@@ -100,7 +100,7 @@
 fn request(table: &mut StatementTable, backend: &mut FakeBackend, messages: &[Frame]) -> String {
     let sent = table.rewrite(messages).unwrap().frames;
     let answers = backend.run(sent);
-    answers.iter().for_each(|answer| table.answered(*answer));
+    answers.iter().for_each(|answer| table.record_answer(*answer));
     String::from_utf8(answers).unwrap()
 }
 
@@ -123,7 +123,7 @@
     assert_eq!(request(&mut other, &mut backend, &[parse("", "SELECT 2")]), "1");
     assert_eq!(request(&mut one, &mut backend, &[bind(""), execute()]), "2C");
     assert_eq!(backend.executed, ["SELECT 1"]);
-    one.simple_query();
+    one.remove_unnamed();
     assert_eq!(one.len(), 0);
 }
 
@@ -169,8 +169,8 @@
     let mut table = StatementTable::default();
     let sent = table.rewrite(&[parse("s", "SELEC"), parse("t", "SELECT 1")]).unwrap();
     assert_eq!(sent.text, "SELEC;\nSELECT 1");
-    table.answered(kind::ERROR);
-    table.answered(kind::PARSE_COMPLETE);
+    table.record_answer(kind::ERROR);
+    table.record_answer(kind::PARSE_COMPLETE);
     assert_eq!(table.len(), 0);
 }
 
--- a/crates/rpc/src/permit.rs
+++ b/crates/rpc/src/permit.rs
@@ -21,7 +21,7 @@
     }
 
     /// Creates a permit for a chunk that no window accounts for.
-    pub fn free() -> Self {
+    pub fn untracked() -> Self {
         ChunkPermit { release: None }
     }
 }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the number of calls whose answer the peer has not completely received.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_count(&self) -> usize {
         self.unfinished.get()
     }
 }
