--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -325,8 +325,8 @@
                 let database_centre = self.centre_of_database(cluster, at);
                 if database_centre == centre {
                     match partitioned {
-                        true => group.cut(name).unwrap(),
-                        false => group.join(name).unwrap(),
+                        true => group.disconnect_replication(name).unwrap(),
+                        false => group.reconnect_replication(name).unwrap(),
                     }
                 }
                 for node in 0..self.options.nodes {
@@ -351,7 +351,7 @@
     fn set_cut(&self, name: &str, cut: bool) {
         self.links.set_cut(name, cut, cut).unwrap();
         if !cut {
-            self.links.drop_connections(name).unwrap();
+            self.links.reset_connections(name).unwrap();
         }
     }
 
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -209,7 +209,7 @@
 fn concurrent_applies_give_one_conflict_that_names_the_winner() {
     let fleet = TestFleet::start(FleetOptions::default());
     // Slow answers make both CLI runs read before either writes.
-    fleet.platform.set_slow(Duration::from_millis(400));
+    fleet.platform.set_answer_delay(Duration::from_millis(400));
     let platform = fleet.platform.address();
     let runs: Vec<(&str, u64, CliRun)> = std::thread::scope(|scope| {
         let threads: Vec<_> = [("olga", 6_001), ("pedro", 6_002)]
@@ -221,7 +221,7 @@
             .collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    fleet.platform.set_slow(Duration::ZERO);
+    fleet.platform.set_answer_delay(Duration::ZERO);
     let codes: Vec<i32> = runs.iter().map(|(_, _, run)| run.code).collect();
     assert!(codes == [0, 4] || codes == [4, 0], "{runs:?}");
     let (winner, deadline_ms, _) = runs.iter().find(|(_, _, run)| run.code == 0).unwrap();
@@ -236,7 +236,7 @@
 #[test]
 fn lost_answer_is_resolved_by_the_change_id() {
     let fleet = TestFleet::start(FleetOptions::default());
-    fleet.platform.lose_next(1);
+    fleet.platform.drop_next_answers(1);
     let run = apply(&fleet, 6_003, 2);
     assert!(run.err.contains("no answer from the platform"), "{run:?}");
     assert_eq!(fleet.platform.counters().lost, 1);
--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -325,7 +325,7 @@
             let (old, term) = (run.primary(), run.monitor.last_term());
             let fail = || fleet.platform.set_outage(mode).unwrap();
             // Slow answers ensure that the outage begins before the next step.
-            fleet.platform.set_slow(Duration::from_millis(400));
+            fleet.platform.set_answer_delay(Duration::from_millis(400));
             if let OutageStart::BeforeTheFault = start {
                 fail();
             }
@@ -364,7 +364,7 @@
 fn supervisor_resumed_after_a_promotion_causes_no_violation() {
     let fleet = TestFleet::start(FleetOptions::default());
     // The supervisor is paused while it waits for the answer to its record.
-    fleet.platform.set_slow(Duration::from_millis(400));
+    fleet.platform.set_answer_delay(Duration::from_millis(400));
     let (_, gap) = run_scenario(&fleet, |run| {
         let (old, term) = (run.primary(), run.monitor.last_term());
         fleet.groups[0].kill(&old).unwrap();
@@ -393,7 +393,7 @@
     let fleet = TestFleet::start(FleetOptions::default());
     let (_, gap) = run_scenario(&fleet, |run| {
         let (old, term) = (run.primary(), run.monitor.last_term());
-        fleet.platform.lose_next(1);
+        fleet.platform.drop_next_answers(1);
         fleet.groups[0].kill(&old).unwrap();
         let opened = run.wait_for_term_above(term);
         run.wait_for_writes(opened);
--- a/crates/daemon/tests/ownership.rs
+++ b/crates/daemon/tests/ownership.rs
@@ -259,7 +259,7 @@
                 let name = link_name(node, &node_name(other));
                 fleet.links.set_cut(&name, cut, cut).unwrap();
                 if !cut {
-                    fleet.links.drop_connections(&name).unwrap();
+                    fleet.links.reset_connections(&name).unwrap();
                 }
             }
         }
--- a/crates/daemon/tests/payments.rs
+++ b/crates/daemon/tests/payments.rs
@@ -74,9 +74,9 @@
     for direction in [Direction::ToUpstream, Direction::ToCaller] {
         let number = 100_001 + boundaries.len();
         let mark = marker(number, with_key);
-        fleet.links.limit_marked("billing-1", &mark, direction, NO_LIMIT).unwrap();
+        fleet.links.limit_bytes_after_marker("billing-1", &mark, direction, NO_LIMIT).unwrap();
         assert_eq!(run(&mut setup_client, &purchase(number, with_key)), RequestOutcome::Done(1));
-        let length = fleet.links.clear_marked("billing-1", &mark).unwrap()[0];
+        let length = fleet.links.clear_marker_limits("billing-1", &mark).unwrap()[0];
         boundaries.extend((0..=length).map(|bytes| (direction, bytes)));
     }
 
@@ -94,9 +94,12 @@
                     let Some(&(direction, bytes)) = boundaries.get(at) else { return };
                     let number = 200_000 + at;
                     let (sql, mark) = (purchase(number, with_key), marker(number, with_key));
-                    fleet.links.limit_marked("billing-1", &mark, direction, bytes).unwrap();
+                    fleet
+                        .links
+                        .limit_bytes_after_marker("billing-1", &mark, direction, bytes)
+                        .unwrap();
                     let answer = clients[at % 2].run(&sql);
-                    let unused = fleet.links.clear_marked("billing-1", &mark).unwrap();
+                    let unused = fleet.links.clear_marker_limits("billing-1", &mark).unwrap();
                     assert!(unused.is_empty(), "{direction:?} {bytes}: the cut was not reached");
                     let query = format!("SELECT id FROM purchases WHERE id = {number}");
                     let rows = checker.query(&query, &[]).unwrap().len();
--- a/crates/daemon/tests/transactions.rs
+++ b/crates/daemon/tests/transactions.rs
@@ -363,7 +363,10 @@
         for (number, proxy) in fleet.proxies.iter().enumerate() {
             for bytes in [100_000, 1_000_003, 9_999_999] {
                 let mark = format!("cut-{number}-{bytes}");
-                fleet.links.limit_marked("billing-1", &mark, Direction::ToCaller, bytes).unwrap();
+                fleet
+                    .links
+                    .limit_bytes_after_marker("billing-1", &mark, Direction::ToCaller, bytes)
+                    .unwrap();
                 let mut raw_client = RawClient::open(proxy);
                 raw_client.query(&format!("SELECT id, note FROM readings /* {mark} */"));
                 let answer = raw_client.read_until(b'Z');
--- a/crates/fake/src/fakedb/mod.rs
+++ b/crates/fake/src/fakedb/mod.rs
@@ -331,12 +331,12 @@
     }
 
     /// Disconnects a database from replication, both as leader and as follower.
-    pub fn cut(&self, name: &str) -> anyhow::Result<()> {
+    pub fn disconnect_replication(&self, name: &str) -> anyhow::Result<()> {
         self.core.update(name, |state| state.cut = true)
     }
 
     /// Reconnects a database to replication.
-    pub fn join(&self, name: &str) -> anyhow::Result<()> {
+    pub fn reconnect_replication(&self, name: &str) -> anyhow::Result<()> {
         self.core.update(name, |state| state.cut = false)
     }
 
--- a/crates/fake/src/fakeplatform.rs
+++ b/crates/fake/src/fakeplatform.rs
@@ -318,7 +318,7 @@
     }
 
     /// Delays each answer by this time, after the change took effect.
-    pub fn set_slow(&self, delay: Duration) {
+    pub fn set_answer_delay(&self, delay: Duration) {
         self.core.change(|store| store.answer_delay = delay);
     }
 
@@ -333,7 +333,7 @@
 
     /// Drops the answers to the next `count` changes (PUT and DELETE): the change takes effect and the
     /// connection closes without an answer.
-    pub fn lose_next(&self, count: u64) {
+    pub fn drop_next_answers(&self, count: u64) {
         self.core.change(|store| store.lose_next = count);
     }
 
--- a/crates/fake/src/faultproxy.rs
+++ b/crates/fake/src/faultproxy.rs
@@ -533,7 +533,7 @@
     }
 
     /// Resets (RST) all connections of a link now.
-    pub fn drop_connections(&self, link: &str) -> anyhow::Result<()> {
+    pub fn reset_connections(&self, link: &str) -> anyhow::Result<()> {
         self.core.link(link)?.reset_all();
         Ok(())
     }
@@ -553,7 +553,7 @@
     /// Limits only the connection that first carries `marker` to the upstream within one read. Bytes
     /// count from that read on, so neither other connections nor earlier bytes of this one affect the
     /// position of the limit. With 0, the next byte closes the connection.
-    pub fn limit_marked(
+    pub fn limit_bytes_after_marker(
         &self,
         link: &str,
         marker: &str,
@@ -573,7 +573,7 @@
 
     /// Removes the limits of one marker that were not reached; returns the bytes that passed under
     /// each of them.
-    pub fn clear_marked(&self, link: &str, marker: &str) -> anyhow::Result<Vec<u64>> {
+    pub fn clear_marker_limits(&self, link: &str, marker: &str) -> anyhow::Result<Vec<u64>> {
         let mut state = self.core.link(link)?.lock();
         let (ended, kept) = std::mem::take(&mut state.marker_limits)
             .into_iter()
--- a/crates/fake/tests/fakedb_terms.rs
+++ b/crates/fake/tests/fakedb_terms.rs
@@ -60,12 +60,12 @@
     wait_until("both applied", || {
         ["db-2", "db-3"].iter().all(|name| count(&group, name).as_deref() == Some("1"))
     });
-    group.cut("db-2").unwrap();
+    group.disconnect_replication("db-2").unwrap();
     primary.batch_execute("INSERT INTO t VALUES (2, 2)").unwrap();
     let next = group.report("db-1").unwrap().received;
     wait_until("db-3 received", || group.report("db-3").unwrap().received == next);
     assert_eq!(group.report("db-2").unwrap().received, end.received);
-    group.join("db-2").unwrap();
+    group.reconnect_replication("db-2").unwrap();
     wait_until("db-2 caught up", || group.report("db-2").unwrap().applied == next);
 }
 
@@ -80,7 +80,7 @@
     wait_until("replicas received", || {
         ["db-2", "db-3"].iter().all(|name| group.report(name).unwrap().received == shared)
     });
-    group.cut("db-1").unwrap();
+    group.disconnect_replication("db-1").unwrap();
     old.batch_execute("INSERT INTO t VALUES (2, 2)").unwrap();
     let mut second = connect(group.addresses()[1]);
     let mut third = connect(group.addresses()[2]);
@@ -107,7 +107,7 @@
     wait_until("db-3 follows", || group.report("db-3").unwrap().received == report.received);
 
     // The old primary is reconnected and still believes that it leads.
-    group.join("db-1").unwrap();
+    group.reconnect_replication("db-1").unwrap();
     old.batch_execute("INSERT INTO t VALUES (4, 4)").unwrap();
     assert_eq!(group.report("db-1").unwrap().role, DatabaseRole::Primary);
     assert_eq!(group.primary().unwrap(), "db-2");
--- a/crates/fake/tests/platform_and_links.rs
+++ b/crates/fake/tests/platform_and_links.rs
@@ -122,7 +122,7 @@
 fn platform_faults() {
     let platform = FakePlatform::start(0).unwrap();
     let client = HttpClient::new(platform.address());
-    platform.lose_next(1);
+    platform.drop_next_answers(1);
     assert!(client.put("/kv/key?cas=0", b"x").is_err());
     assert_eq!(platform.value("key").unwrap().0, b"x");
     assert_eq!(client.put("/kv/key?cas=0", b"x").unwrap().1, "false");
@@ -139,13 +139,13 @@
     platform.set_outage(OutageMode::None).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     assert_eq!(stream.read(&mut [0]).unwrap(), 1);
-    platform.set_slow(Duration::from_millis(40));
+    platform.set_answer_delay(Duration::from_millis(40));
     let start = Instant::now();
     assert_eq!(client.get("/kv/key").unwrap().0, 200);
     assert!(start.elapsed() >= Duration::from_millis(40));
 
     // The same seed loses the same answers.
-    platform.set_slow(Duration::ZERO);
+    platform.set_answer_delay(Duration::ZERO);
     let mut lost = Vec::new();
     for _ in 0..2 {
         platform.drop_answers_by_share(0.5, 7);
@@ -204,7 +204,7 @@
     assert!(!client.put("cicadawick/config", b"two", 0).unwrap());
     let stored = client.get("cicadawick/config").unwrap().unwrap();
     assert_eq!(stored.bytes, b"\x00one");
-    platform.lose_next(1);
+    platform.drop_next_answers(1);
     assert!(client.put("cicadawick/config", b"two", stored.modify_index).is_err());
     let wait = Duration::from_secs(10);
     let (changed, _) = client.watch("cicadawick/config", stored.modify_index, wait).unwrap();
@@ -300,7 +300,7 @@
     let mut stream = open(address);
     stream.write_all(b"h").unwrap();
     stream.read_exact(&mut buffer[..1]).unwrap();
-    proxy.drop_connections("echo").unwrap();
+    proxy.reset_connections("echo").unwrap();
     let error = stream.read(&mut buffer).unwrap_err();
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
     proxy.set_refusing("echo", true).unwrap();
--- a/crates/platform/tests/fake_platform.rs
+++ b/crates/platform/tests/fake_platform.rs
@@ -22,7 +22,7 @@
     assert!(!client.put("cicadawick/config", b"two", 0).unwrap());
     let stored = client.get("cicadawick/config").unwrap().unwrap();
     assert_eq!(stored.bytes, b"one");
-    platform.lose_next(1);
+    platform.drop_next_answers(1);
     let error = client.put("cicadawick/config", b"two", stored.modify_index).unwrap_err();
     assert!(matches!(error, PlatformError::Unreachable { .. }), "{error}");
     assert_eq!(client.get("cicadawick/config").unwrap().unwrap().bytes, b"two");
