--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -660,7 +660,7 @@
     /// does not change the estimate for others.
     ///
     /// ```
-    /// use admit::{QueueConfig, SlotQueue, RequestId, SlotRequest};
+    /// use admit::{QueueConfig, RequestId, SlotQueue, SlotRequest};
     /// use model::{Micros, Rank, RankConfig, RankMap};
     ///
     /// let ranks = RankMap([RankConfig { floor_percent: 0, queue_limit: 8 }; 3]);
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -265,7 +265,7 @@
     }
 
     fn sweep(&mut self, cx: CX![]) {
-        self.peer_clients.sweep(cx);
+        self.peer_clients.close_idle(cx);
         self.probe_configured_peers(cx);
         self.counters.gauge("sessions", self.sessions.len() as u64);
         self.counters.gauge("backend_connections", self.backends.len() as u64);
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -392,7 +392,7 @@
     }
 
     /// Returns the term of the promotion in progress or of the last one.
-    pub fn target(&self) -> Term {
+    pub fn target_term(&self) -> Term {
         self.target
     }
 
--- a/crates/member/src/table.rs
+++ b/crates/member/src/table.rs
@@ -83,14 +83,15 @@
     pub peer_address: SocketAddress,
     pub admin_address: SocketAddress,
     /// Start time of the process; an entry with a higher one replaces one with a lower one. In the
-    /// entries of a [`MemberTable`] the low 12 bits count refutations, see [`MemberInfo::process`].
+    /// entries of a [`MemberTable`] the low 12 bits count refutations, see
+    /// [`MemberInfo::process_incarnation`].
     pub incarnation: u64,
     pub state: MemberState,
 }
 
 impl MemberInfo {
     /// Returns the part of the incarnation that changes only when the process starts again.
-    pub fn process(&self) -> u64 {
+    pub fn process_incarnation(&self) -> u64 {
         self.incarnation >> REFUTATION_BITS
     }
 }
@@ -379,7 +380,7 @@
 
     /// Tells whether the members of a data centre may own something here. False while no watcher of
     /// it answers the watcher of this data centre.
-    pub fn reachable(&self, data_centre: &str) -> bool {
+    pub fn is_reachable(&self, data_centre: &str) -> bool {
         self.reachability.get(data_centre).is_none_or(|version| version.is_multiple_of(2))
     }
 
@@ -410,7 +411,7 @@
             data_centre: &entry.info.data_centre,
             incarnation: entry.info.incarnation,
             leaving: entry.leaving,
-            reachable: self.reachable(&entry.info.data_centre),
+            reachable: self.is_reachable(&entry.info.data_centre),
         });
         self.layout =
             MemberLayout::build(&self.own.data_centre, std::iter::once(own).chain(others));
--- a/crates/member/src/table/detect.rs
+++ b/crates/member/src/table/detect.rs
@@ -48,7 +48,7 @@
     fn watcher_targets(&self, data_centre: &Name) -> Vec<Name> {
         let order = self.layout.watchers_of(data_centre);
         let silent = order.first().is_some_and(|first| self.contacts.missed(first) > 0);
-        let count = match silent || !self.reachable(data_centre) {
+        let count = match silent || !self.is_reachable(data_centre) {
             true => 1 + WATCHER_SUCCESSORS,
             false => 1,
         };
@@ -165,7 +165,7 @@
             let entries = entries.filter(|info| {
                 usable(info)
                     && (info.data_centre == self.own.data_centre) == own_data_centre
-                    && self.reachable(&info.data_centre)
+                    && self.is_reachable(&info.data_centre)
             });
             others.extend(entries.map(|info| &info.name));
         }
@@ -217,7 +217,7 @@
         let interval = self.config.heartbeat_interval;
         for other in others {
             let targets = self.watcher_targets(&other);
-            let reachable = self.reachable(&other);
+            let reachable = self.is_reachable(&other);
             let answered =
                 targets.iter().any(|name| self.contacts.answered_within(name, now, interval));
             let silent = !targets.is_empty()
--- a/crates/member/src/table/merge.rs
+++ b/crates/member/src/table/merge.rs
@@ -219,7 +219,7 @@
             actions.push(MemberAction::SendHeartbeat { to, heartbeat });
             return;
         }
-        let restarted = info.process() != held.process();
+        let restarted = info.process_incarnation() != held.process_incarnation();
         if !entry.is_dead() && (dead || restarted) {
             actions.push(MemberAction::MemberLost(info.name.clone()));
         }
@@ -264,9 +264,9 @@
         if (info.incarnation, info.state) <= held || info.state == MemberState::Suspected {
             return;
         }
-        if info.process() > self.own.process() {
+        if info.process_incarnation() > self.own.process_incarnation() {
             // An earlier process of the same name whose clock was ahead.
-            self.own.incarnation = (info.process() + 1) << REFUTATION_BITS;
+            self.own.incarnation = (info.process_incarnation() + 1) << REFUTATION_BITS;
         } else if info.state == MemberState::Dead || self.leave_requested {
             self.own.incarnation = info.incarnation + 1;
         } else {
--- a/crates/member/tests/fleet.rs
+++ b/crates/member/tests/fleet.rs
@@ -534,7 +534,7 @@
         let took = fleet.run_until_all(Micros::from_secs(17), |node| {
             FleetModel::dead_at(node, &dead)
                 && node.document == 9
-                && (0..data_centres).all(|at| node.table.reachable(&format!("dc-{at}")))
+                && (0..data_centres).all(|at| node.table.is_reachable(&format!("dc-{at}")))
         });
         println!("{count} nodes: merged {took} after the heal");
         fleet.run_for(Micros::from_secs(5));
@@ -581,7 +581,7 @@
     println!("20 nodes: paused process alive for all {took} after it continued");
     let after = fleet.nodes[0].table.member(&name).unwrap();
     assert!(after.incarnation > before);
-    assert_eq!(after.process(), before >> 12);
+    assert_eq!(after.process_incarnation(), before >> 12);
     let lost = |node: &FleetNode| node.lost_members.iter().filter(|lost| **lost == name).count();
     assert!(fleet.nodes.iter().enumerate().all(|(at, node)| at == 4 || lost(node) == 1));
     assert!(fleet.nodes[4].lost_members.is_empty(), "{:?}", fleet.nodes[4].lost_members);
@@ -650,7 +650,7 @@
             fleet.kill(at);
         }
     }
-    let took = fleet.run_until_all(Micros::from_secs(9), |node| !node.table.reachable("dc-2"));
+    let took = fleet.run_until_all(Micros::from_secs(9), |node| !node.table.is_reachable("dc-2"));
     println!("94 nodes: loss of a data centre known by all after {took}");
     fleet.run_for(Micros::from_secs(1));
     for owner in fleet.agreed_owners(&fleet.live()) {
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -154,7 +154,7 @@
     }
 
     /// Closes connections that were idle for 30 s, and removes those that ended.
-    pub fn sweep(&self, core: &Core) {
+    pub fn close_idle(&self, core: &Core) {
         let now = core.now();
         self.connections.borrow_mut().retain(|_, connection| {
             let idle = Rc::strong_count(&connection.in_use) == 1
