--- a/crates/gate/src/backend.rs
+++ b/crates/gate/src/backend.rs
@@ -21,8 +21,8 @@
 /// A command to a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackendCommand {
-    /// A client's statement, unchanged. With `required_position`, it runs only if
-    /// the log holds this position.
+    /// A client's statement, unchanged. With `required_position`, it runs only if the log holds
+    /// this position.
     Run {
         id: Name,
         text: Name,
--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -48,10 +48,9 @@
     next_search: Micros,
     /// Term at which a failover was announced.
     pub(crate) announced_term: Option<Term>,
-    /// When the last announced failover was over; earlier reports and commits prove nothing any
-    /// more.
+    /// When the last announced failover was over; the read lease extends no proof from before.
     pub(crate) last_failover_end: Micros,
-    /// When the overdue commit was sent; cleared by an acknowledged commit.
+    /// When the first overdue commit was sent; cleared by an acknowledged commit or a new leader.
     pub(crate) commit_overdue: Option<Micros>,
     /// When a report last failed to prove the leader.
     proof_failed_at: Option<Micros>,
@@ -143,8 +142,8 @@
         }
         let claims_primary =
             self.databases[&name].listed.claimed_role == Some(DatabaseRole::Primary);
-        let holds = self.owns_connections(&cluster);
-        if holds && claims_primary && (role_changed || known.is_none()) {
+        let owns = self.owns_connections(&cluster);
+        if owns && claims_primary && (role_changed || known.is_none()) {
             self.request_report(&name);
         }
         self.open_connections(&name);
@@ -221,9 +220,9 @@
             }
             let far = database.listed.data_centre != *own;
             let busy = database.idle.is_empty() || !database.is_responsive(self.now);
-            let rank = (busy, far, database.load(), name);
-            if best.as_ref().is_none_or(|best| rank < *best) {
-                best = Some(rank);
+            let key = (busy, far, database.load(), name);
+            if best.as_ref().is_none_or(|best| key < *best) {
+                best = Some(key);
             }
         }
         if let Some((_, _, _, name)) = best {
@@ -367,7 +366,7 @@
 
     fn maintain_cluster(&mut self, cluster: &Name) {
         let now = self.now;
-        let holds = self.owns_connections(cluster);
+        let owns = self.owns_connections(cluster);
         if let Some(proof_time) =
             self.clusters.get(cluster).and_then(|state| state.needed_proof_time)
         {
@@ -397,7 +396,7 @@
         let unknown = state.proof.leader().is_none();
         let doubtful = !state.waiting_for_proof.is_empty() || state.leader_missing_since.is_some();
         if now >= state.next_search {
-            if holds && (unknown || doubtful) {
+            if owns && (unknown || doubtful) {
                 let interval = if unknown { SEARCH_INTERVAL } else { UNRESPONSIVE_LEADER_INTERVAL };
                 state.next_search = now + interval;
                 return self.request_all_reports(cluster);
@@ -405,7 +404,7 @@
             // The first search waits one interval for the report of a listed primary.
             state.next_search = now + SEARCH_INTERVAL;
         }
-        if holds {
+        if owns {
             self.prove_for_read_lease(cluster);
         }
     }
@@ -416,8 +415,11 @@
         let Some(state) = self.clusters.get(cluster) else { return };
         for name in state.members.clone() {
             let Some(database) = self.databases.get(&name) else { continue };
-            let silent = !database.is_responsive(self.now) && database.overdue_since.is_some();
-            if silent && database.report_requested_at.is_none() && database.unlisted_since.is_none()
+            let unresponsive =
+                !database.is_responsive(self.now) && database.overdue_since.is_some();
+            if unresponsive
+                && database.report_requested_at.is_none()
+                && database.unlisted_since.is_none()
             {
                 self.request_report(&name);
             }
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -175,9 +175,9 @@
         if let Some(database) = self.databases.get_mut(&name) {
             database.record_attempt(now);
             if opening {
-                let pause = OPEN_BACKOFF_MIN.0 << database.open_failures.min(4);
+                let backoff = OPEN_BACKOFF_MIN.0 << database.open_failures.min(4);
                 database.open_failures += 1;
-                database.open_retry_at = now + Micros(pause).min(OPEN_BACKOFF_MAX);
+                database.open_retry_at = now + Micros(backoff).min(OPEN_BACKOFF_MAX);
             }
         }
         self.count("links_lost");
@@ -428,16 +428,16 @@
             self.out.push(GateAction::CloseConnection { connection });
             self.connection_lost(connection);
         }
-        for (name, connection, used) in surplus {
+        for (name, connection, last_used) in surplus {
             let Some(database) = self.databases.get(&name) else { continue };
             if database.peer.is_some() {
-                if now >= used + PEER_IDLE_TIMEOUT {
+                if now >= last_used + PEER_IDLE_TIMEOUT {
                     self.close_connection(connection, "unused");
                 }
                 continue;
             }
             let share = self.steady_connections(&database.listed.cluster);
-            if share > 1 && now < used + LARGE_SHARE_IDLE_TIMEOUT {
+            if share > 1 && now < last_used + LARGE_SHARE_IDLE_TIMEOUT {
                 continue;
             }
             if database.connections.len() > share as usize || !self.keeps_connection_open(&name) {
--- a/crates/gate/src/database.rs
+++ b/crates/gate/src/database.rs
@@ -75,7 +75,8 @@
 }
 
 impl LatencyEstimate {
-    /// Rises faster than it falls, so that a growing queue takes effect at once.
+    /// Adds a sample. The estimate rises faster than it falls, so that a growing queue takes effect
+    /// at once.
     pub(crate) fn observe(&mut self, now: Micros, sample: Micros) {
         let current = self.value(now);
         self.smoothed = if sample > current {
@@ -171,7 +172,8 @@
         self.unanswered_since().is_none_or(|since| now < since + UNRESPONSIVE_TIMEOUT)
     }
 
-    /// Returns true if the entry stands for another node that owes answers and should be probed.
+    /// Returns true if the entry stands for another node whose answers are late, so that it should
+    /// be probed.
     pub(crate) fn wants_probe(&self, now: Micros) -> bool {
         self.peer.is_some()
             && self.opening == 0
@@ -179,11 +181,11 @@
             && self.unanswered_since().is_some_and(|since| now >= since + PEER_PROBE_DELAY)
     }
 
-    /// Returns since when attempts to reach the database or statements have been unanswered.
+    /// Returns since when an attempt to reach the database, or a statement, has been unanswered.
     pub(crate) fn unanswered_since(&self) -> Option<Micros> {
         match (self.attempt_unanswered_since, self.overdue_since) {
-            (Some(trying), Some(overdue)) => Some(trying.min(overdue)),
-            (trying, overdue) => trying.or(overdue),
+            (Some(attempt), Some(overdue)) => Some(attempt.min(overdue)),
+            (attempt, overdue) => attempt.or(overdue),
         }
     }
 
@@ -207,8 +209,8 @@
 
     /// Returns true if the passing of time alone may allow a command or a new connection.
     pub(crate) fn needs_dispatch(&self) -> bool {
-        let waits = self.queue.stats().waiting.0.iter().any(|waiting| *waiting > 0);
-        waits || self.report_wanted || self.connections.is_empty()
+        let has_waiting = self.queue.stats().waiting.0.iter().any(|waiting| *waiting > 0);
+        has_waiting || self.report_wanted || self.connections.is_empty()
     }
 
     /// Returns the number of requests that wait or run.
@@ -283,6 +285,7 @@
     /// Lifts a fence. The promotion lease is kept until the command is answered.
     Unfence,
     Demote,
+    /// The answer needs no handling.
     Control,
 }
 
@@ -311,7 +314,7 @@
     prepared_count: u64,
 }
 
-/// Maximum number of prepared statements on one connection; it is reset when it has more.
+/// Number of prepared statements at which a connection is reset before its next use.
 const PREPARED_LIMIT: usize = 256;
 
 impl BackendConnection {
--- a/crates/gate/src/dump.rs
+++ b/crates/gate/src/dump.rs
@@ -5,7 +5,7 @@
 use crate::Gate;
 
 /// Maximum number of databases in the dump.
-const DUMP_ROWS: usize = 200;
+const MAX_DUMPED_DATABASES: usize = 200;
 
 impl Gate {
     /// Returns the gate's current state, for operators.
@@ -44,7 +44,7 @@
         let databases: Vec<Value> = self
             .databases
             .iter()
-            .take(DUMP_ROWS)
+            .take(MAX_DUMPED_DATABASES)
             .map(|(name, database)| {
                 json!({
                     "database": name,
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -41,7 +41,7 @@
 const RESPONSIVE_PRIMARY_TIMEOUT: Micros = Micros::from_millis(1_500);
 
 /// Upper bound of the time between the first commit that a new replica receives and its entry in
-/// the list, which is about 22 ms.
+/// the list. The entry follows about 22 ms later.
 const LISTING_DELAY: Micros = Micros::from_millis(100);
 
 /// Time to wait for the answer to a demotion before the failover goes on without it.
@@ -140,8 +140,8 @@
 /// Progress in ending another node's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseRevocation {
-    /// The lease still has to be ended; `asked` is when that was last requested.
-    Held { lease: u64, asked: Option<Micros> },
+    /// The lease still has to be ended; `requested_at` is when that was last requested.
+    Held { lease: u64, requested_at: Option<Micros> },
     /// The lease has ended; the node's read lease runs out.
     Ended,
 }
@@ -387,11 +387,11 @@
         });
         let mut ends = Vec::new();
         for (node, revocation) in &mut failover.unacknowledged {
-            if let LeaseRevocation::Held { lease, asked } = revocation
+            if let LeaseRevocation::Held { lease, requested_at } = revocation
                 && now >= failover.last_step + ACKNOWLEDGE_TIMEOUT
-                && asked.is_none_or(|at| now >= at + STEP_RETRY_INTERVAL)
+                && requested_at.is_none_or(|at| now >= at + STEP_RETRY_INTERVAL)
             {
-                *asked = Some(now);
+                *requested_at = Some(now);
                 ends.push(GateAction::EndLease { node: node.clone(), lease: *lease });
             }
         }
@@ -534,7 +534,7 @@
         // A node whose record cannot be read counts as one that has acknowledged nothing.
         let record: NodeRecord = serde_json::from_slice(&stored.bytes).unwrap_or_default();
         if node != own && record.acknowledged < announced {
-            let revocation = LeaseRevocation::Held { lease: stored.lease, asked: None };
+            let revocation = LeaseRevocation::Held { lease: stored.lease, requested_at: None };
             missing.insert(node.clone(), revocation);
         }
     }
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -121,7 +121,7 @@
                 failover.fence_sent.get(name).is_none_or(|at| now >= *at + STEP_RETRY_INTERVAL)
             })
             .collect();
-        let mut asked = false;
+        let mut sent_any = false;
         for name in due {
             let Some(connection) = self.control_connection(&name) else {
                 if let Some(database) = self.databases.get_mut(&name) {
@@ -134,14 +134,14 @@
             if let Some(failover) = self.failovers.running.get_mut(cluster) {
                 failover.fence_sent.insert(name, now);
             }
-            asked = true;
+            sent_any = true;
         }
         // A replica that does not answer may be gone, so the list is read again.
-        let repeat =
+        let relist =
             self.failovers.running.get(cluster).is_some_and(|failover| {
                 now >= failover.last_step + Micros(STEP_RETRY_INTERVAL.0 * 4)
             });
-        if !asked && repeat {
+        if !sent_any && relist {
             self.set_stage(cluster, FailoverStage::Listing);
         }
     }
--- a/crates/gate/src/leadership_proof.rs
+++ b/crates/gate/src/leadership_proof.rs
@@ -84,7 +84,7 @@
         self.leader.as_ref()
     }
 
-    /// Returns since when any replica has had a fence above the term.
+    /// Returns since when at least one replica has had a fence above the term.
     pub fn fenced_since(&self) -> Option<Micros> {
         self.fenced.values().min().copied()
     }
@@ -252,7 +252,8 @@
         self.proved.iter().find(|sample| sample.since >= since).map(|sample| sample.position)
     }
 
-    /// Forgets the leader, for example after an error that only a replaced primary sends.
+    /// Forgets a database's leadership and fence, for example after an error that only a replaced
+    /// primary sends.
     pub fn forget_leader(&mut self, database: &Name) {
         self.fenced.remove(database);
         if self.leader.as_ref() == Some(database) {
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -53,14 +53,14 @@
     pub(crate) fn retry_request(
         &mut self,
         id: RequestId,
-        pause: Option<Micros>,
+        backoff: Option<Micros>,
         cause: ErrorCode,
         code: ErrorCode,
     ) {
         self.release_slot(id);
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let retry_at = now + pause.unwrap_or(Micros::ZERO);
+        let retry_at = now + backoff.unwrap_or(Micros::ZERO);
         request.connection = None;
         if request.tries >= MAX_TRIES || retry_at >= request.deadline {
             return self.refuse(
@@ -75,7 +75,7 @@
             "tries" => u64::from(request.tries),
             "cause" => cause.name()
         ];
-        match pause {
+        match backoff {
             Some(_) => {
                 request.stage = RequestStage::BackingOff(retry_at);
                 self.backing_off.push(id);
@@ -84,7 +84,7 @@
         }
         self.count("requests_retried");
         self.log("request_retried", fields);
-        if pause.is_none() {
+        if backoff.is_none() {
             self.route_request(id);
         }
     }
@@ -484,7 +484,7 @@
         }
     }
 
-    /// Records that a database owes an answer.
+    /// Records that a database's answer is overdue.
     pub(crate) fn record_overdue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (Some(sent), Some(name)) = (request.sent, request.database.clone()) else { return };
@@ -505,8 +505,8 @@
         }
     }
 
-    /// Handles a request whose answer is overdue. `deadline_passed` tells whether its time limit has
-    /// passed.
+    /// Handles a request whose answer is overdue. `deadline_passed` tells whether its time limit
+    /// has passed.
     pub(crate) fn sent_request_timed_out(&mut self, id: RequestId, deadline_passed: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let unknown = "the time limit passed, the outcome is not known";
--- a/crates/gate/src/owners.rs
+++ b/crates/gate/src/owners.rs
@@ -6,8 +6,8 @@
 //! first owner that can be reached. That owner sees the whole load, so it can keep the database's
 //! own queue short and serve the ranks in order.
 //!
-//! Every node computes the same owners from the registrations. The nodes of a data centre with the
-//! most capacity share the clusters evenly.
+//! Every node computes the same owners from the registrations. In each data centre, the nodes with
+//! the most capacity share the clusters evenly.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,8 @@
 /// limit of a database.
 pub const SMALL_DEPLOYMENT_MAX_NODES: usize = 16;
 
-/// Minimum number of owners of a cluster, so that more than one remains when one is lost.
+/// Minimum number of owners of a cluster, so that more than one remains when one is lost. There are
+/// fewer if its databases accept too few connections.
 const MIN_OWNERS: usize = 3;
 
 /// Clusters per owning node of a data centre. More would put too much of the traffic on a VM with
@@ -193,8 +194,8 @@
         self.owners.owners_of(cluster).is_none_or(|owners| owners.contains(node))
     }
 
-    /// Returns the number of nodes that share the connections to a cluster's databases. The first
-    /// owner uses the whole share, on behalf of all nodes that forward to it.
+    /// Returns the number of nodes that share the connections to a cluster's databases: one at the
+    /// first owner, which uses them on behalf of all nodes that forward to it.
     pub(crate) fn sharing_node_count(&self, cluster: &Name) -> u32 {
         let first = self.owners.owners_of(cluster).and_then(<[Name]>::first);
         if first == Some(&self.settings.node) { 1 } else { self.owner_count(cluster) }
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -37,16 +37,16 @@
 #[derive(Debug, Default)]
 pub(crate) struct PeerContacts {
     /// Nodes whose answers are long overdue.
-    silent: FastSet<Name>,
+    unresponsive: FastSet<Name>,
     /// At least one node of another data centre answers.
-    hears_other_data_centres: bool,
+    other_data_centre_answers: bool,
 }
 
 impl PeerContacts {
     /// Returns true if this node is probably cut off from the other data centres: several nodes are
-    /// silent, and none of another data centre answers.
+    /// unresponsive, and none of another data centre answers.
     pub(crate) fn is_isolated(&self) -> bool {
-        self.silent.len() >= 2 && !self.hears_other_data_centres
+        self.unresponsive.len() >= 2 && !self.other_data_centre_answers
     }
 }
 
@@ -64,7 +64,7 @@
                 *node != self.settings.node
                     && record
                         .is_some_and(|record| !record.suspected_clusters.contains(cluster.as_str()))
-                    && !contacts.silent.contains(node)
+                    && !contacts.unresponsive.contains(node)
                     && !self.peers.refused.contains_key(&(node.clone(), cluster.clone()))
             })
     }
@@ -79,13 +79,13 @@
             if entry.last_answer.is_some_and(|at| now < at + UNRESPONSIVE_TIMEOUT) {
                 responsive.insert(node.clone());
                 let centre = self.registry.get(node).map(|record| record.data_centre.as_str());
-                contacts.hears_other_data_centres |=
+                contacts.other_data_centre_answers |=
                     centre != Some(self.settings.data_centre.as_str());
             } else if !entry.is_responsive(now) {
-                contacts.silent.insert(node.clone());
+                contacts.unresponsive.insert(node.clone());
             }
         }
-        contacts.silent.retain(|node| !responsive.contains(node));
+        contacts.unresponsive.retain(|node| !responsive.contains(node));
         contacts
     }
 
@@ -101,8 +101,8 @@
         let cluster = &self.requests.get(&id)?.route.cluster;
         let owners = self.owners.owners_of(cluster)?;
         let own = owners.iter().position(|node| *node == self.settings.node);
-        let warm = self.registration.role == NodeRole::Owner;
-        self.choose_peer_before(id, own.filter(|_| warm).unwrap_or(owners.len()))
+        let is_registered_owner = self.registration.role == NodeRole::Owner;
+        self.choose_peer_before(id, own.filter(|_| is_registered_owner).unwrap_or(owners.len()))
     }
 
     /// Chooses a node that may be able to serve a request; returns the entry that stands for it.
@@ -117,13 +117,13 @@
         let request = self.requests.get(&id)?;
         let (cluster, client_database) = (&request.route.cluster, &request.route.database);
         let owners = self.owners.owners_of(cluster);
-        let refused_time = if owners.is_some() { OWNER_RETRY_INTERVAL } else { PEER_REFUSAL_TTL };
+        let refusal_ttl = if owners.is_some() { OWNER_RETRY_INTERVAL } else { PEER_REFUSAL_TTL };
         let candidates: Vec<&Name> = match owners {
             Some(owners) => owners.iter().take(end).collect(),
             None => self.registry.others().map(|(node, _)| node).collect(),
         };
         let mut best = None;
-        for (place, node) in candidates.into_iter().enumerate() {
+        for (position, node) in candidates.into_iter().enumerate() {
             let Some(record) = self.registry.last_known(node) else { continue };
             let Some(address) = record.peer_address else { continue };
             let name = entry_name(node, client_database);
@@ -131,7 +131,7 @@
             let entry = self.databases.get(&name);
             if *node == self.settings.node
                 || record.suspected_clusters.contains(cluster.as_str())
-                || refused.is_some_and(|at| self.now < *at + refused_time)
+                || refused.is_some_and(|at| self.now < *at + refusal_ttl)
                 || request.excluded.contains(&name)
                 || entry.is_some_and(|entry| !entry.is_responsive(self.now))
             {
@@ -139,17 +139,17 @@
             }
             let cost = match owners {
                 // An owner that has just started has no connections yet.
-                Some(_) => (u32::from(self.registry.is_standby(node)), place),
+                Some(_) => (u32::from(self.registry.is_standby(node)), position),
                 None => {
                     let near = record.data_centre == self.settings.data_centre.as_str();
-                    let detour = if near { 0 } else { REMOTE_PEER_LOAD_PENALTY };
-                    let load = entry.map_or(0, Database::load) + detour;
+                    let penalty = if near { 0 } else { REMOTE_PEER_LOAD_PENALTY };
+                    let load = entry.map_or(0, Database::load) + penalty;
                     (load, self.owners.position(cluster, node).unwrap_or(usize::MAX))
                 }
             };
-            let rank = (cost, name, address, node);
-            if best.as_ref().is_none_or(|best| rank < *best) {
-                best = Some(rank);
+            let key = (cost, name, address, node);
+            if best.as_ref().is_none_or(|best| key < *best) {
+                best = Some(key);
             }
         }
         let (_, name, address, node) = best?;
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Probes nodes that owe answers, to distinguish a node whose requests wait from one that is
-    /// gone.
+    /// Probes nodes whose answers are late, to distinguish a node whose requests wait from one that
+    /// is gone.
     fn probe_peers(&mut self) {
         let now = self.now;
         let probed: Vec<Name> = self
@@ -202,9 +202,9 @@
     }
 
     /// Reroutes the requests that wait for unresponsive nodes.
-    fn reroute_from_silent_peers(&mut self) {
+    fn reroute_from_unresponsive_peers(&mut self) {
         let now = self.now;
-        let silent: Vec<Name> = self
+        let unresponsive: Vec<Name> = self
             .databases
             .iter()
             .filter(|(_, entry)| {
@@ -212,7 +212,7 @@
             })
             .map(|(name, _)| name.clone())
             .collect();
-        for name in silent {
+        for name in unresponsive {
             self.reroute_queued_requests(&name);
         }
     }
@@ -221,14 +221,14 @@
     pub(crate) fn maintain_peers(&mut self) {
         let now = self.now;
         self.probe_peers();
-        self.reroute_from_silent_peers();
+        self.reroute_from_unresponsive_peers();
         let unused: Vec<Name> = self
             .databases
             .iter()
             .filter(|(_, entry)| match &entry.peer {
                 Some(node) => {
-                    let used = entry.last_answer.unwrap_or_default().max(entry.created);
-                    let idle = entry.load() == 0 && now >= used + UNUSED_PEER_TTL;
+                    let last_used = entry.last_answer.unwrap_or_default().max(entry.created);
+                    let idle = entry.load() == 0 && now >= last_used + UNUSED_PEER_TTL;
                     idle || self.registry.last_known(node).is_none()
                 }
                 None => false,
--- a/crates/gate/src/promotion_lease.rs
+++ b/crates/gate/src/promotion_lease.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromotionLeaseRecord {
     pub holder: String,
-    /// Grows with every change of holder.
+    /// Grows each time a node acquires the lease.
     #[serde(rename = "number")]
     pub fencing_token: u64,
     /// Distinguishes writes, including those of processes that ran under the same name.
--- a/crates/gate/src/ready.rs
+++ b/crates/gate/src/ready.rs
@@ -68,9 +68,9 @@
                 ],
             );
         }
-        let long =
+        let delay_passed =
             self.ready.unready_since.is_some_and(|since| now >= since + CLOSE_SESSIONS_DELAY);
-        if unreachable_since.is_some() && long && clusters > 0 {
+        if unreachable_since.is_some() && delay_passed && clusters > 0 {
             self.close_idle_sessions();
         }
     }
--- a/crates/gate/src/registration.rs
+++ b/crates/gate/src/registration.rs
@@ -25,11 +25,11 @@
 /// may not know one either.
 const WARM_UP_TIMEOUT: Micros = Micros::from_millis(500);
 
-/// What this node last published.
+/// This node's role, and what it last published.
 #[derive(Debug, Default)]
 pub(crate) struct RegistrationState {
     record: Option<NodeRecord>,
-    published: Micros,
+    published_at: Micros,
     pub(crate) role: NodeRole,
     /// Counts the changes of role, to recognize renewals of an ended registration.
     pub(crate) role_changes: u64,
@@ -53,11 +53,11 @@
         let Some((listed, others)) = self.registration.listed else { return };
         let settled = others || self.node_count.is_known() || now >= listed + DISCOVERY_GRACE;
         let owns = self.table.clusters.keys().any(|cluster| self.owns_connections(cluster));
-        let warm = self.registration.role == NodeRole::Owner || self.is_warmed_up();
+        let warmed_up = self.registration.role == NodeRole::Owner || self.is_warmed_up();
         let role = match self.registration.role {
             // Requests in flight still need the read lease.
             role if self.drain.since.is_some() => role,
-            _ if owns && settled && warm => NodeRole::Owner,
+            _ if owns && settled && warmed_up => NodeRole::Owner,
             _ => NodeRole::Standby,
         };
         if role != self.registration.role {
@@ -69,7 +69,7 @@
         }
         let record = self.node_record(suspected_clusters);
         let state = &self.registration;
-        let due = state.record.is_none() || now >= state.published + PUBLISH_INTERVAL;
+        let due = state.record.is_none() || now >= state.published_at + PUBLISH_INTERVAL;
         if due && state.record.as_ref() != Some(&record) {
             self.publish(record);
         }
@@ -124,6 +124,6 @@
             self.out.push(GateAction::PublishRegistration { role, role_changes, bytes });
         }
         self.registration.record = Some(record);
-        self.registration.published = self.now;
+        self.registration.published_at = self.now;
     }
 }
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -2,7 +2,7 @@
 //!
 //! Each node registers itself in the store. The number of registrations determines each node's
 //! share of the databases' connections. A registration also carries the node's suspicions, so that
-//! trouble of one node alone does not replace a primary that the other nodes reach.
+//! a fault of one node alone does not replace a primary that the other nodes reach.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,8 +52,8 @@
     standbys: FastMap<Name, NodeRecord>,
     /// When an owner was last seen to leave; it may still hold a read lease.
     last_departure: Option<Micros>,
-    /// Last records of nodes that left, and when they left. Their leases may have ended while they
-    /// run.
+    /// Last records of nodes that left, and when they left. Such a node may still run, because a
+    /// lease can end early.
     former_nodes: FastMap<Name, (Micros, NodeRecord)>,
 }
 
@@ -176,8 +176,8 @@
         nodes
     }
 
-    /// Returns this node's choice of a number of alternatives; the nodes are spread evenly over
-    /// them.
+    /// Returns the index of this node's choice among `choices` alternatives; the owners are spread
+    /// evenly over them.
     pub fn choice_index(&self, choices: usize) -> usize {
         let before = self.owners.keys().filter(|name| **name < self.own).count();
         before.checked_rem(choices).unwrap_or_default()
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -24,7 +24,7 @@
 const REPLY_MARGIN: Micros = Micros::from_millis(20);
 
 /// Time that a request waits for a leader or for proof of one. Another node may be able to serve
-/// it, and the client's retries must fit into its time.
+/// it, and the client's retries must fit into its own time limit.
 const HOLD_TIMEOUT: Micros = Micros::from_millis(300);
 
 /// Time before the owners of a cluster are asked again after none could serve a request: a third of
@@ -36,8 +36,8 @@
 
 /// Weight in percent of the expected time at a replica that is not preferred, and of that at the
 /// leader. The leader is kept free for requests that only it can serve.
-const REPLICA_DETOUR_PERCENT: u64 = 150;
-const LEADER_DETOUR_PERCENT: u64 = 250;
+const REPLICA_TIME_WEIGHT_PERCENT: u64 = 150;
+const LEADER_TIME_WEIGHT_PERCENT: u64 = 250;
 
 /// Role of a request within its session.
 #[derive(Clone, Debug)]
@@ -151,7 +151,7 @@
         if matches!(request.kind, RequestKind::Continue) {
             return self.continue_transaction(id);
         }
-        let (route, started_at, for_leader) =
+        let (route, started_at, needs_leader) =
             (request.route.clone(), request.started_at, request.needs_leader());
         let writes = matches!(request.kind, RequestKind::Write);
         if let Some(peer) = self.choose_owner(id) {
@@ -164,7 +164,7 @@
             return self.refuse(id, self.refusal_code(id), "no database is known for the route");
         };
         let since = coverage_time(route.freshness, started_at);
-        if !for_leader
+        if !needs_leader
             && let Some(since) = since
             && let Some(position) = cluster.proof.proved_position(since)
         {
@@ -211,7 +211,7 @@
         self.request_proof(&route.cluster, proof_time.unwrap_or(started_at));
     }
 
-    /// Holds a request at a node that only forwards until an owner may be able to serve it.
+    /// Holds a request that this node can only forward, until an owner may be able to serve it.
     fn wait_for_owner(&mut self, id: RequestId) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -300,16 +300,16 @@
             {
                 continue;
             }
-            let percent = if Some(name) == preferred { 100 } else { REPLICA_DETOUR_PERCENT };
-            let rank = (database.expected_time(self.now).0 * percent, name.clone());
-            if best.as_ref().is_none_or(|best| rank < *best) {
-                best = Some(rank);
+            let percent = if Some(name) == preferred { 100 } else { REPLICA_TIME_WEIGHT_PERCENT };
+            let key = (database.expected_time(self.now).0 * percent, name.clone());
+            if best.as_ref().is_none_or(|best| key < *best) {
+                best = Some(key);
             }
         }
         let (time, name) = best?;
         if let Some(leader) = self.usable_leader(cluster)
             && let Some(database) = self.databases.get(&leader)
-            && time > database.expected_time(self.now).0 * LEADER_DETOUR_PERCENT
+            && time > database.expected_time(self.now).0 * LEADER_TIME_WEIGHT_PERCENT
         {
             return None;
         }
@@ -373,11 +373,11 @@
             return self.refuse(id, ErrorCode::Misrouted, text);
         }
         let Some(state) = self.clusters.get_mut(&cluster) else { return };
-        let closed = !state.members.is_empty()
+        let no_connection = !state.members.is_empty()
             && state.members.iter().all(|name| {
                 self.databases.get(name).is_some_and(|database| database.has_no_connection(now))
             });
-        if closed {
+        if no_connection {
             let text = "not run, no connection to the databases is free, retry after 150 ms";
             return self.refuse(id, ErrorCode::Busy, text);
         }
@@ -405,7 +405,7 @@
         let repeatable = match self.kind {
             RequestKind::Read => self.tries < MAX_TRIES - 1,
             RequestKind::Write => false,
-            // A transaction has no effect before its commit was sent.
+            // A transaction has no effect before its commit is sent.
             RequestKind::Begin { .. } | RequestKind::Continue => !self.is_commit(),
         };
         self.stage == RequestStage::Sent
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -49,13 +49,13 @@
         }
         let state = self.clusters.get(cluster)?;
         let leader = state.proof.leader().cloned();
-        let replica_heard = state.members.iter().any(|name| {
+        let replica_answers = state.members.iter().any(|name| {
             Some(name) != leader.as_ref()
                 && self.databases.get(name).is_some_and(|database| {
                     database.last_answer.is_some_and(|at| now < at + REPLICA_CONTACT_TIMEOUT)
                 })
         });
-        if !replica_heard || !self.has_stable_store_contact() {
+        if !replica_answers || !self.has_stable_store_contact() {
             return None;
         }
         let Some(leader) = leader else {
@@ -82,9 +82,9 @@
     }
 
     /// Requests reports from a primary that other nodes suspect, and from a replica, because a node
-    /// suspects a primary only if it hears a replica.
+    /// suspects a primary only if a replica answers it.
     ///
-    /// The first owner notices a silent primary by its requests; the other owners send none.
+    /// The first owner notices an unresponsive primary by its requests; the other owners send none.
     fn verify_suspicion(&mut self, cluster: &Name) {
         let now = self.now;
         let Some(state) = self.clusters.get(cluster) else { return };
@@ -102,8 +102,8 @@
             return;
         }
         let replica = self.preferred_replica(state).filter(|name| needs_report(name));
-        let asked: Vec<Name> = replica.into_iter().chain([leader]).cloned().collect();
-        for name in asked {
+        let targets: Vec<Name> = replica.into_iter().chain([leader]).cloned().collect();
+        for name in targets {
             self.request_report(&name);
         }
     }
--- a/crates/gate/tests/forwarding.rs
+++ b/crates/gate/tests/forwarding.rs
@@ -27,7 +27,7 @@
     let position = TermPosition { term: Term(1), position: 11 };
     simulation.database("a").received = position;
     let session = simulation.open_as(0, SESSION, SessionOrigin::Peer);
-    simulation.send_request_after(0, session, "begin", "BEGIN READ", Some(position));
+    simulation.send_request_requiring(0, session, "begin", "BEGIN READ", Some(position));
     simulation.send_request(0, session, "r1", "READ 1");
     simulation.run(millis(300));
     assert_eq!(simulation.outcome(session), "served");
@@ -43,12 +43,12 @@
     simulation.send_request(0, warm_up, "warm", "READ 1");
     simulation.run(millis(1_000));
     let session = simulation.open_as(0, LATEST, SessionOrigin::Peer);
-    let asked = simulation.now;
+    let sent_at = simulation.now;
     simulation.send_request(0, session, "r", "READ 1");
     simulation.run(millis(40));
     // The code differs from that of an overloaded node, which is worth asking again.
     assert_eq!(simulation.outcome(session), "misrouted");
-    assert!(simulation.answer(session).unwrap().at <= asked + millis(20));
+    assert!(simulation.answer(session).unwrap().at <= sent_at + millis(20));
 }
 
 /// Starts a node that owns no connections because it has less capacity than the others.
--- a/crates/gate/tests/leadership.rs
+++ b/crates/gate/tests/leadership.rs
@@ -233,7 +233,7 @@
     simulation.send_request(0, session, "w", "WRITE 1 x");
     simulation.run(millis(50));
     assert_eq!(simulation.outcome(session), "served");
-    simulation.hidden.insert("b".into());
+    simulation.unlisted.insert("b".into());
     for gate in 0..4 {
         simulation.event(gate, gate::GateEvent::DatabaseUnlisted { id: "b".into() });
     }
@@ -270,7 +270,7 @@
     }
     simulation.database("a").unreachable = true;
     simulation.database("b").unreachable = true;
-    simulation.hidden.insert("b".into());
+    simulation.unlisted.insert("b".into());
     for gate in 0..4 {
         simulation.event(gate, gate::GateEvent::DatabaseUnlisted { id: "b".into() });
     }
@@ -334,7 +334,7 @@
         simulation.send_request(turn % 4, session, &format!("v{turn}"), "WRITE 1 x");
         if turn == 150 {
             // The old primary's entry is removed for good.
-            simulation.hidden.insert("a".into());
+            simulation.unlisted.insert("a".into());
             for gate in 0..4 {
                 simulation.event(gate, gate::GateEvent::DatabaseUnlisted { id: "a".into() });
             }
@@ -352,7 +352,7 @@
     let mut simulation = Simulation::start(4);
     run_with_load(&mut simulation, millis(1_000));
     let mut late = simulation.database("b").clone();
-    simulation.hidden.insert("d".into());
+    simulation.unlisted.insert("d".into());
     simulation.database("a").hung = true;
     while simulation.logged("takeover_stage") == 0 {
         run_with_load(&mut simulation, millis(20));
@@ -363,7 +363,7 @@
     late.ran.clear();
     simulation.databases.insert("d".into(), late);
     simulation.run(millis(20));
-    simulation.hidden.clear();
+    simulation.unlisted.clear();
     run_with_load(&mut simulation, millis(2_000));
     assert_eq!(&*simulation.promotions[0].1, "d");
 }
@@ -392,7 +392,7 @@
     simulation.send_request(0, session, "warm", "READ 1");
     simulation.run(millis(500));
     simulation.database("a").unreachable = true;
-    let begun = simulation.now;
+    let started = simulation.now;
     for turn in 0..150 {
         let session = simulation.open(0, LATEST);
         simulation.send_request(0, session, &format!("w{turn}"), "WRITE 1 x");
@@ -402,5 +402,5 @@
     }
     let promoted = simulation.promotions.first().expect("the primary is replaced");
     // Two silences of 500 ms in sequence, the promotion lease and the steps of the failover.
-    assert!(promoted.0 - begun < millis(2_000), "after {:?}", promoted.0 - begun);
+    assert!(promoted.0 - started < millis(2_000), "after {:?}", promoted.0 - started);
 }
--- a/crates/gate/tests/overload.rs
+++ b/crates/gate/tests/overload.rs
@@ -24,11 +24,11 @@
 }
 
 /// Sends reads at a steady rate and returns their sessions.
-fn burst(simulation: &mut Simulation, route: &str, turns: u64, each: u64) -> Vec<SessionId> {
+fn burst(simulation: &mut Simulation, route: &str, turns: u64, per_gate: u64) -> Vec<SessionId> {
     let mut sessions = Vec::new();
     for turn in 0..turns {
         for gate in 0..simulation.gates.len() {
-            for copy in 0..each {
+            for copy in 0..per_gate {
                 let session = simulation.open(gate, route);
                 let id = format!("{route}{turn}-{gate}-{copy}");
                 simulation.send_request(gate, session, &id, "READ 1");
@@ -86,10 +86,10 @@
     simulation.announce_store_state();
     simulation.run(millis(400));
     let session = simulation.open(0, LATEST);
-    let asked = simulation.now;
+    let sent_at = simulation.now;
     simulation.send_request(0, session, "r", "READ 1");
     assert_eq!(simulation.outcome(session), ErrorCode::Busy.name());
-    assert_eq!(simulation.answer(session).unwrap().at, asked);
+    assert_eq!(simulation.answer(session).unwrap().at, sent_at);
     for name in ["a", "b", "c"] {
         simulation.database(name).connections_refused = false;
     }
@@ -110,7 +110,7 @@
     for name in ["a", "b", "c"] {
         simulation.database(name).statement_time = millis(30);
     }
-    let begun = simulation.now;
+    let started = simulation.now;
     let mut sessions = Vec::new();
     for turn in 0..150 {
         for copy in 0..3 {
@@ -121,11 +121,11 @@
         simulation.run(millis(20));
     }
     simulation.run(millis(800));
-    let settled = begun + millis(1_000);
+    let settled = started + millis(1_000);
     let (mut late, mut count) = (0, 0);
-    for (session, asked) in sessions.into_iter().filter(|(_, asked)| *asked > settled) {
+    for (session, sent_at) in sessions.into_iter().filter(|(_, sent_at)| *sent_at > settled) {
         let answer = simulation.answer(session).unwrap();
-        let took = answer.at - asked;
+        let took = answer.at - sent_at;
         if simulation.outcome(session) == "served" {
             count += 1;
             late += usize::from(took > millis(400));
@@ -175,16 +175,16 @@
     warm_up(&mut simulation);
     simulation.database("a").unreachable = true;
     burst(&mut simulation, LATEST, 25, 1);
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for turn in 0..20 {
         let session = simulation.open(turn % 4, LATEST);
         simulation.send_request(turn % 4, session, &format!("w{turn}"), "WRITE 1 x");
-        asked.push((session, simulation.now));
+        requests.push((session, simulation.now));
         simulation.run(millis(20));
     }
     simulation.run(millis(1_000));
-    for (session, at) in asked {
+    for (session, sent_at) in requests {
         let answer = simulation.answer(session).expect("every request is answered");
-        assert!(answer.at <= at + millis(340), "answered after {}", answer.at - at);
+        assert!(answer.at <= sent_at + millis(340), "answered after {}", answer.at - sent_at);
     }
 }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -101,7 +101,7 @@
     pub stopped: BTreeSet<usize>,
     pub closed: BTreeSet<SessionId>,
     /// Databases without an entry in the list.
-    pub hidden: BTreeSet<Name>,
+    pub unlisted: BTreeSet<Name>,
     connections: BTreeMap<(usize, ConnectionId), Name>,
     documents: BTreeMap<String, StoredDocument>,
     revision: u64,
@@ -213,7 +213,7 @@
             registered: vec![(NodeRole::Standby, 0); nodes],
             stopped: BTreeSet::new(),
             closed: BTreeSet::new(),
-            hidden: BTreeSet::new(),
+            unlisted: BTreeSet::new(),
             connections: BTreeMap::new(),
             documents: BTreeMap::new(),
             revision: 1,
@@ -235,8 +235,8 @@
     }
 
     pub fn listed(&self) -> Vec<ListedDatabase> {
-        let shown = self.databases.keys().filter(|name| !self.hidden.contains(*name));
-        shown.map(|name| self.listed_one(name)).collect()
+        let listed = self.databases.keys().filter(|name| !self.unlisted.contains(*name));
+        listed.map(|name| self.listed_one(name)).collect()
     }
 
     fn listed_one(&self, name: &Name) -> ListedDatabase {
@@ -605,11 +605,11 @@
 
     /// Sends a request; [`Simulation::answer`] returns its answer.
     pub fn send_request(&mut self, gate: usize, session: SessionId, id: &str, text: &str) {
-        self.send_request_after(gate, session, id, text, None);
+        self.send_request_requiring(gate, session, id, text, None);
     }
 
     /// Sends a request with a required position, as a forwarding node does.
-    pub fn send_request_after(
+    pub fn send_request_requiring(
         &mut self,
         gate: usize,
         session: SessionId,
--- a/crates/gate/tests/support/single_gate.rs
+++ b/crates/gate/tests/support/single_gate.rs
@@ -104,10 +104,10 @@
     /// discarded.
     pub fn last_readiness(&mut self) -> Option<bool> {
         let actions = std::mem::take(&mut self.actions).into_iter();
-        let told = actions.filter_map(|action| match action {
+        let reported = actions.filter_map(|action| match action {
             GateAction::SetReady(ready) => Some(ready),
             _ => None,
         });
-        told.last()
+        reported.last()
     }
 }
