--- a/crates/gate/src/cluster.rs
+++ b/crates/gate/src/cluster.rs
@@ -50,7 +50,8 @@
     pub(crate) announced_term: Option<Term>,
     /// When the last announced failover was over; the read lease extends no proof from before.
     pub(crate) last_failover_end: Micros,
-    /// When the first overdue commit was sent; cleared by an acknowledged commit or a new leader.
+    /// When the first overdue commit was sent; cleared by an acknowledged commit or a change of
+    /// leader.
     pub(crate) commit_overdue: Option<Micros>,
     /// When a report last failed to prove the leader.
     proof_failed_at: Option<Micros>,
--- a/crates/gate/src/connection.rs
+++ b/crates/gate/src/connection.rs
@@ -14,7 +14,8 @@
 /// Timeout for opening a connection, including a handshake behind a full queue.
 const OPEN_TIMEOUT: Micros = Micros::from_millis(1_000);
 
-/// Timeout for the answer to a report. Reports take a slot, behind a queue of 16 statements.
+/// Timeout for the answer to a report or another command that is not a client's statement. Reports
+/// take a slot, behind a queue of 16 statements.
 const REPORT_TIMEOUT: Micros = Micros::from_millis(800);
 
 /// Time that a statement whose request is gone may take before its connection is closed.
@@ -58,7 +59,8 @@
         steady_share(connections, self.sharing_node_count(cluster))
     }
 
-    /// Opens connections for queued requests, and the first connection to each database.
+    /// Opens a connection if queued requests need one, or if the database has none and one is kept
+    /// open to it.
     pub(crate) fn open_connections(&mut self, name: &Name) {
         let now = self.now;
         let Some(database) = self.databases.get(name) else { return };
@@ -104,8 +106,8 @@
         self.count("links_opened");
     }
 
-    /// Returns true if a connection to the database is kept open without requests: to the leader,
-    /// and to the replica that this node prefers.
+    /// Returns true if a connection to the database is kept open without requests: to the leader
+    /// and the preferred replica, and to every database while no leader is known.
     fn keeps_connection_open(&self, name: &Name) -> bool {
         let Some(database) = self.databases.get(name) else { return false };
         let Some(state) = self.clusters.get(&database.listed.cluster) else { return false };
--- a/crates/gate/src/failover.rs
+++ b/crates/gate/src/failover.rs
@@ -16,8 +16,8 @@
 //!    commits.
 //! 8. Promote the replica with the longest log. It contains every acknowledged commit, because each
 //!    is at one fenced replica at least.
-//! 9. Wait until the new primary reports its role, and demote the old primary if it could not be
-//!    reached before.
+//! 9. Wait until the new primary reports its role, and demote the old primary once more, in case it
+//!    could not be reached before.
 //!
 //! A replica that cannot be fenced may hold the only copy of a commit and may go on acknowledging.
 //! The failover waits until its entry is gone. If that takes too long, the failover is aborted and
@@ -407,8 +407,8 @@
         self.out.append(&mut ends);
     }
 
-    /// Records that another node's lease has ended; its read lease runs out within
-    /// [`READ_LEASE_TTL`].
+    /// Processes the answer to a call that ends another node's lease. After the end, the node's
+    /// read lease runs out within [`READ_LEASE_TTL`].
     pub(crate) fn end_lease_answered(&mut self, node: &Name, ended: bool) {
         let now = self.now;
         self.log("lease_ended", fields!["node" => node, "ended" => ended]);
@@ -522,7 +522,7 @@
     }
 }
 
-/// Returns the registered nodes that have not acknowledged an announcement.
+/// Returns the other registered owners that have not acknowledged an announcement.
 fn unacknowledged_nodes(
     documents: &[StoredDocument],
     own: &Name,
--- a/crates/gate/src/fencing.rs
+++ b/crates/gate/src/fencing.rs
@@ -191,7 +191,8 @@
         self.step_failover(&cluster);
     }
 
-    /// Returns the fenced replica with the longest log; among equals, one that is not leaving.
+    /// Returns the fenced replica with the longest log; among equals, one that is listed and not
+    /// leaving.
     pub(crate) fn longest_fenced_log(&self, cluster: &Name) -> Option<(Name, TermPosition)> {
         let failover = self.failovers.running.get(cluster)?;
         failover
--- a/crates/gate/src/outcome.rs
+++ b/crates/gate/src/outcome.rs
@@ -16,8 +16,9 @@
 use crate::statement::{ErrorCode, StatementAccess, TransactionState};
 use crate::{Gate, fields};
 
-/// A read is sent to another database after this many times the usual latency of its database,
-/// within the bounds below. An answer can be lost while the connection stays open.
+/// A read is sent to another database, and a transaction is given up, after this many times the
+/// usual latency of its database, within the bounds below. An answer can be lost while the
+/// connection stays open.
 const READ_TIMEOUT_FACTOR: u64 = 6;
 const READ_TIMEOUT_MIN: Micros = Micros::from_millis(120);
 const READ_TIMEOUT_MAX: Micros = Micros::from_millis(400);
--- a/crates/gate/src/peer.rs
+++ b/crates/gate/src/peer.rs
@@ -96,7 +96,8 @@
             .is_some_and(|session| session.origin == SessionOrigin::Peer)
     }
 
-    /// Chooses a node that precedes this one among the owners of the request's cluster.
+    /// Chooses an owner of the request's cluster that precedes this node, or any other owner while
+    /// this node is not registered as one.
     pub(crate) fn choose_owner(&mut self, id: RequestId) -> Option<Name> {
         let cluster = &self.requests.get(&id)?.route.cluster;
         let owners = self.owners.owners_of(cluster)?;
--- a/crates/gate/src/read_lease.rs
+++ b/crates/gate/src/read_lease.rs
@@ -2,7 +2,7 @@
 //!
 //! The read lease is the lease of the node's registration. It is valid for [`READ_LEASE_TTL`] after
 //! the last successful renewal was *sent*. A node that starts a failover announces it. Before it
-//! promotes, it waits for the acknowledgement of each registered node, or ends that node's lease
+//! promotes, it waits for the acknowledgement of each registered owner, or ends that node's lease
 //! and waits [`READ_LEASE_TTL`].
 
 use model::{Micros, Name};
--- a/crates/gate/src/suspicion.rs
+++ b/crates/gate/src/suspicion.rs
@@ -33,7 +33,7 @@
 /// may be cut off.
 const REPLICA_CONTACT_TIMEOUT: Micros = Micros::from_millis(900);
 
-/// More than one node in this many must suspect a primary before it is replaced, so that the nodes
+/// More than one owner in this many must suspect a primary before it is replaced, so that the nodes
 /// of one data centre that is cut off cannot replace it.
 const SUSPICION_QUORUM_DIVISOR: u32 = 3;
 
