--- a/crates/admit/src/pool.rs
+++ b/crates/admit/src/pool.rs
@@ -19,7 +19,7 @@
 /// Limits of one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolConfig {
-    /// Most connections for requests, without report connections.
+    /// Maximum number of connections for requests; report connections are not included.
     pub limit: u32,
     /// Connections that stay open when idle.
     pub retained: u32,
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -13,7 +13,7 @@
 //! Then the caller with the least slot time goes first. A caller that begins to wait starts one mean
 //! statement above the caller served last: it cannot accumulate unused time, and a stream of new
 //! callers cannot overtake those that were served once. Its earlier use counts up to two mean
-//! statements above, so that one slow statement does not starve a caller that seldom sends; a caller
+//! statements above, so that one slow statement does not starve a caller that seldom sends. A caller
 //! that always has requests waiting is charged in full.
 //!
 //! A statement is charged its estimate when it is granted and the difference when it finishes, so that
@@ -46,9 +46,9 @@
 const LONG_STATEMENT_TIME: Micros = Micros::from_millis(250);
 /// Estimate for a selector without a finished statement.
 const DEFAULT_ESTIMATE: Micros = Micros::from_millis(5);
-/// Most selectors with an estimate of their own; further ones use the default estimate.
+/// Maximum number of selectors with an estimate of their own; others use the default estimate.
 const MAX_ESTIMATES: usize = 1_024;
-/// Most idle callers whose slot time is kept for each rank.
+/// Maximum number of idle callers whose slot time is kept for each rank.
 const MAX_IDLE_CALLERS: usize = 4_096;
 /// Lower limit of the bound on a rank's debt. With a lower bound, ranks with very short statements
 /// would merely alternate instead of receiving their minimum shares.
@@ -118,7 +118,7 @@
     pub slot_time: RankMap<Micros>,
 }
 
-/// Smoothed service time of a selector.
+/// Smoothed service time of a selector, in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct ServiceEstimate {
     mean: u64,
@@ -139,8 +139,8 @@
         Micros(self.mean.saturating_add(self.deviation.saturating_mul(2)))
     }
 
-    /// Lowers an estimate that alone makes every request refused, so that it recovers after an
-    /// outlier.
+    /// Lowers an estimate that exceeds the time that a request has left. Such requests are refused, so
+    /// without this the estimate would not recover after an outlier.
     fn decay(&mut self) {
         self.mean -= self.mean / 16;
         self.deviation -= self.deviation / 16;
@@ -757,8 +757,8 @@
         self.running_long < self.config.slots.saturating_sub(1).max(1)
     }
 
-    /// Returns the expected time until `ahead` microseconds of the rank's waiting requests were
-    /// granted.
+    /// Returns the expected time until waiting requests of the rank that amount to `ahead` microseconds
+    /// have been granted.
     fn wait_behind(&self, now: Micros, rank: Rank, ahead: u64) -> Micros {
         let slots = f64::from(self.config.slots.max(1));
         let free = self.running.len() < self.config.slots as usize;
@@ -769,7 +769,8 @@
         }
         let outstanding: u64 =
             Rank::ALL.into_iter().map(|other| self.ranks[other].outstanding(now)).sum();
-        // One slot becomes free after the mean remaining time of the running statements.
+        // The next slot becomes free after the mean remaining time of the running statements, divided
+        // by the number of slots.
         let first = if free { 0.0 } else { outstanding as f64 / slots / slots };
         let used: f64 = higher().map(|other| self.ranks[other].share).sum();
         let minimum = f64::from(self.config.ranks[rank].floor_percent) / 100.0;
--- a/crates/admit/tests/pool.rs
+++ b/crates/admit/tests/pool.rs
@@ -10,7 +10,7 @@
 enum PoolStep {
     Take(u32),
     Opened(usize),
-    Put(usize),
+    Release(usize),
     Lost(usize),
     UnknownConnection(u64),
     Trim,
@@ -22,7 +22,7 @@
     prop_oneof![
         4 => (0u32..12).prop_map(PoolStep::Take),
         4 => (0usize..16).prop_map(PoolStep::Opened),
-        3 => (0usize..16).prop_map(PoolStep::Put),
+        3 => (0usize..16).prop_map(PoolStep::Release),
         2 => (0usize..16).prop_map(PoolStep::Lost),
         1 => (0u64..40).prop_map(PoolStep::UnknownConnection),
         2 => Just(PoolStep::Trim),
@@ -48,10 +48,10 @@
             let total = opening.len() + idle.len() + taken.len();
             match step {
                 PoolStep::Take(wanted) => {
-                    let got = pool.take(now, wanted, &mut next_id, &mut actions);
+                    let connection = pool.take(now, wanted, &mut next_id, &mut actions);
                     // The pool takes the most recently used connection.
-                    prop_assert_eq!(got, idle.pop());
-                    taken.extend(got);
+                    prop_assert_eq!(connection, idle.pop());
+                    taken.extend(connection);
                     let room = (config.limit as usize).saturating_sub(total);
                     prop_assert!(actions.len() <= room.min(wanted.max(1) as usize));
                 }
@@ -60,7 +60,7 @@
                     pool.opened(now, connection);
                     idle.push(connection);
                 }
-                PoolStep::Put(index) if !taken.is_empty() => {
+                PoolStep::Release(index) if !taken.is_empty() => {
                     let connection = taken.swap_remove(index % taken.len());
                     pool.release(now, connection);
                     pool.release(now, connection);
@@ -92,7 +92,7 @@
                     pool.reconfigure(config);
                 }
                 PoolStep::Wait(micros) => now += Micros(micros),
-                PoolStep::Opened(_) | PoolStep::Put(_) | PoolStep::Lost(_) => {}
+                PoolStep::Opened(_) | PoolStep::Release(_) | PoolStep::Lost(_) => {}
             }
             for action in actions {
                 match action {
