--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -153,16 +153,16 @@
     pub confirmed_ago: Option<Micros>,
 }
 
-/// Longest data age for which samples are kept.
+/// Age above which samples are dropped when samples are thinned.
 const SAMPLE_RETENTION: Micros = Micros::from_secs(60);
-/// Most samples kept for each cluster. Thinning leaves at most two for each gap, 230 over the whole
-/// retention time.
+/// Maximum number of samples kept for each cluster. Thinning leaves at most two for each gap, 230 over
+/// the whole retention time.
 const MAX_SAMPLES: usize = 256;
 /// Shortest gap that samples are thinned to.
 const MIN_SAMPLE_GAP: Micros = Micros::from_millis(8);
 /// Older samples are thinned to gaps of their age divided by this, if that is longer.
 const SAMPLE_GAP_DIVISOR: u64 = 16;
-/// Most terms whose start is kept. With two promotions a day this covers a month.
+/// Maximum number of terms whose start is kept. With two promotions a day this covers a month.
 const MAX_TERM_STARTS: usize = 64;
 /// Time between rounds while only commits of earlier rounds wait, so that a lagging replica is not
 /// polled without pause.
@@ -386,7 +386,7 @@
                 }
             }
             MonitorEvent::CommitFinished { commit, term, durable } => {
-                let early = u64::from(!self.faults.early_round);
+                let first_offset = u64::from(!self.faults.early_round);
                 if term < self.term {
                     actions.push(MonitorAction::OutcomeUnknown { commit });
                 } else {
@@ -395,7 +395,7 @@
                         term,
                         durable,
                         finished: now,
-                        first_round: self.last_round + early,
+                        first_round: self.last_round + first_offset,
                         covered_by: None,
                     });
                 }
@@ -448,8 +448,8 @@
         state.latest.map(|(_, began, report)| (began, report))
     }
 
-    /// Returns the data age that can be proved for a database, if any. Slightly above 60 s at
-    /// most.
+    /// Returns the data age that can be proved for a database, if any. Ages above 60 s are provable only
+    /// until the samples are thinned.
     pub fn provable_age(&self, now: Micros, database: &str) -> Option<Micros> {
         let (_, report) = self.report(database)?;
         if !self.is_on_primary_log(&report) {
@@ -729,7 +729,7 @@
         self.samples = kept;
     }
 
-    /// Abandons requests and commits that timed out, and rounds without a request in flight.
+    /// Abandons requests and commits that timed out, and earlier rounds without a request in flight.
     fn expire(&mut self, now: Micros, actions: &mut Vec<MonitorAction>) {
         for state in &mut self.databases {
             if let Some((_, sent)) = state.asked
--- a/crates/failover/src/supervisor.rs
+++ b/crates/failover/src/supervisor.rs
@@ -99,8 +99,8 @@
     PrimarySuspected { term: Term, supervisor_index: u32 },
     /// The cluster monitor no longer suspects the primary.
     SuspicionCleared,
-    /// The confirmed leader of `term` is leaving and this node owns its database. May be
-    /// repeated; see [`Supervisor::set_leaving`].
+    /// The confirmed leader of `term` is leaving and this node owns its database. May be repeated; see
+    /// [`Supervisor::set_leaving`].
     LeaderLeaving { term: Term },
     /// Another owner's view arrived, or `None` if it could not be asked.
     ViewArrived { from: Name, view: Option<LeaderView> },
@@ -409,8 +409,8 @@
     }
 
     fn back_off(&mut self, now: Micros) {
-        let spread = Micros(self.random.below(BACKOFF_JITTER.0));
-        self.step = PromotionStep::Backoff { until: now + MIN_BACKOFF + spread };
+        let jitter = Micros(self.random.below(BACKOFF_JITTER.0));
+        self.step = PromotionStep::Backoff { until: now + MIN_BACKOFF + jitter };
     }
 
     /// Advances the step whose deadline has passed.
@@ -493,10 +493,11 @@
             return;
         }
         let mut current = self.followers.iter().filter(|follower| follower.report.term == term);
-        let Some(head) = current.clone().find(|follower| follower.database == *leader) else {
+        let Some(leader_state) = current.clone().find(|follower| follower.database == *leader)
+        else {
             return;
         };
-        let log = (head.report.log_term, head.report.received);
+        let log = (leader_state.report.log_term, leader_state.report.received);
         let ready = current.any(|follower| {
             !self.leaving.contains(&follower.database)
                 && (follower.report.log_term, follower.report.received) == log
@@ -580,7 +581,7 @@
             && std::mem::take(&mut pending.writing)
             && applied
         {
-            // Without an answer, or on a conflict, the record is read again when it is due.
+            // On a conflict, and without an answer, the record is read again when it is due.
             if self.write_abandoned {
                 pending.due = now;
             } else {
@@ -806,14 +807,15 @@
             return;
         }
         let mut followers = self.followers.iter();
-        let head = followers.find(|other| other.database == leader && other.report.term == term);
+        let leader_state =
+            followers.find(|other| other.database == leader && other.report.term == term);
         // Behind without progress: the follow order was lost. Longer than the leader's log: it holds
         // entries that it should have discarded.
         let unchanged = now.saturating_sub(received_changed_at) >= FOLLOW_INTERVAL;
-        let stuck = head.is_some_and(|head| {
-            let behind =
-                report.log_term < head.report.log_term || report.received < head.report.received;
-            let ahead = report.received > head.report.received && report.log_term < term;
+        let stuck = leader_state.is_some_and(|leader_state| {
+            let behind = report.log_term < leader_state.report.log_term
+                || report.received < leader_state.report.received;
+            let ahead = report.received > leader_state.report.received && report.log_term < term;
             unchanged && (behind || ahead)
         });
         let due = ordered_at.is_none_or(|at| now >= at + FOLLOW_INTERVAL);
--- a/crates/failover/tests/supervisor.rs
+++ b/crates/failover/tests/supervisor.rs
@@ -328,13 +328,13 @@
         ),
     );
     let seen = |database: &str, report| ReportSeen { database: database.into(), report };
-    let mut head = report(5, 5, 200);
-    head.role = DatabaseRole::Primary;
+    let mut leader_report = report(5, 5, 200);
+    leader_report.role = DatabaseRole::Primary;
     add_case(
         "lagging databases: told to follow once a second, also if they stand still",
         run(vec![
             (0, LeaderConfirmed { term: Term(5), leader: "a".into() }),
-            (0, seen("a", head)),
+            (0, seen("a", leader_report)),
             (1, seen("b", report(4, 4, 95))),
             (250, seen("b", report(4, 4, 95))),
             (1_001, seen("b", report(4, 4, 95))),
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -78,7 +78,7 @@
     Fence { term: u64 },
     Promote { term: u64 },
     Follow { term: u64, leader: usize },
-    Write { id: u64, label: u64 },
+    Write { id: u64, sent_term: u64 },
 }
 
 #[derive(Clone)]
@@ -107,7 +107,7 @@
     Written {
         node: usize,
         id: u64,
-        label: u64,
+        sent_term: u64,
     },
     RequestView {
         from: usize,
@@ -159,7 +159,7 @@
     cuts: [[u64; NODE_COUNT]; NODE_COUNT],
     platform_unavailable_until: u64,
     record: Option<LeaderRecord>,
-    index: u64,
+    record_index: u64,
     next_id: u64,
     terms: BTreeMap<u64, TermHistory>,
     /// Index of each entry in every log that has it. Logs that agree at one index agree before it,
@@ -244,7 +244,7 @@
             cuts: [[0; NODE_COUNT]; NODE_COUNT],
             platform_unavailable_until: 0,
             record: None,
-            index: 0,
+            record_index: 0,
             next_id: 1,
             terms: BTreeMap::new(),
             entry_positions: HashMap::new(),
@@ -408,10 +408,10 @@
                 self.drive_monitor(node, MonitorEvent::ReportFailed { database, round });
             }
             Message::Supervisor { node, event } => self.drive_supervisor(node, event),
-            Message::Written { node, id, label } => {
+            Message::Written { node, id, sent_term } => {
                 self.responses.insert(id, self.now);
                 let durable = id.is_multiple_of(2);
-                let (commit, term) = (CommitId(id), Term(label));
+                let (commit, term) = (CommitId(id), Term(sent_term));
                 self.drive_monitor(node, MonitorEvent::CommitFinished { commit, term, durable });
             }
             Message::RequestView { from, to } => {
@@ -420,14 +420,15 @@
                 self.send(Message::Supervisor { node: from, event });
             }
             Message::PlatformRead { node } => {
-                let (record, index) = (self.record.clone(), self.index);
+                let (record, index) = (self.record.clone(), self.record_index);
                 self.answer_platform(node, SupervisorEvent::RecordRead { record, index });
             }
             Message::PlatformWrite { node, index, record } => {
-                let applied = index == self.index && self.platform_unavailable_until <= self.now;
+                let applied =
+                    index == self.record_index && self.platform_unavailable_until <= self.now;
                 if applied {
                     self.record = Some(record);
-                    self.index += 1;
+                    self.record_index += 1;
                 }
                 self.answer_platform(node, SupervisorEvent::RecordWritten { applied });
             }
@@ -458,7 +459,7 @@
                 {
                     let id = self.next_id;
                     self.next_id += 1;
-                    let request = Request::Write { id, label: view.term.0 };
+                    let request = Request::Write { id, sent_term: view.term.0 };
                     let database = index_of(&leader);
                     self.send(Message::Request { node, database, request });
                 }
@@ -571,7 +572,7 @@
                 }
                 return;
             }
-            Request::Write { id, label } => {
+            Request::Write { id, sent_term } => {
                 if !database.primary {
                     return;
                 }
@@ -583,7 +584,7 @@
                 database.applied = database.log.len();
                 let now = self.now;
                 self.terms.get_mut(&entry.0).unwrap().log.push((entry, now));
-                Message::Written { node, id, label }
+                Message::Written { node, id, sent_term }
             }
         };
         self.send(reply);
@@ -723,7 +724,7 @@
         let newer = self
             .terms
             .iter()
-            .find(|(term, truth)| **term > entry.0 && truth.promoted_at < response);
+            .find(|(term, history)| **term > entry.0 && history.promoted_at < response);
         if let Some((newer, _)) = newer {
             let text = format!("commit {id} of term {} acknowledged, replaced by {newer}", entry.0);
             self.record_violation(text);
@@ -737,9 +738,9 @@
         self.required_positions.push((required, entry));
         if id.is_multiple_of(2) {
             self.durable.push(entry);
-            let missing_in = self.terms.iter().find(|(term, truth)| {
+            let missing_in = self.terms.iter().find(|(term, history)| {
                 let at = self.entry_positions[&entry];
-                **term > entry.0 && truth.log.get(at).is_none_or(|(other, _)| *other != entry)
+                **term > entry.0 && history.log.get(at).is_none_or(|(other, _)| *other != entry)
             });
             if let Some((term, _)) = missing_in {
                 let text = format!("term {term} lacks the entry {entry:?} acknowledged as durable");
@@ -780,14 +781,15 @@
             if let Some(age) = monitor.provable_age(Micros(self.now), &database) {
                 self.proofs += 1;
                 let since = self.now - age.0;
-                let office = self.terms.iter().rfind(|(_, truth)| truth.promoted_at < since);
-                if let Some((term, truth)) = office {
-                    let mut needed = truth.log.partition_point(|(_, at)| *at < since);
+                let leading_then =
+                    self.terms.iter().rfind(|(_, history)| history.promoted_at < since);
+                if let Some((term, history)) = leading_then {
+                    let mut needed = history.log.partition_point(|(_, at)| *at < since);
                     if *term <= monitor_term {
                         needed =
-                            common_length(&truth.log[..needed], &self.terms[&monitor_term].log);
+                            common_length(&history.log[..needed], &self.terms[&monitor_term].log);
                     }
-                    let last = needed.checked_sub(1).map(|last| (truth.log[last].0, last));
+                    let last = needed.checked_sub(1).map(|last| (history.log[last].0, last));
                     if last.is_some_and(|(entry, at)| held.get(at) != Some(&entry)) {
                         let text = format!(
                             "age {age} proved for {database} holding {applied} of term \
