--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -88,7 +88,7 @@
                     requested_round: None,
                 };
                 self.clusters.insert(config.name.clone(), state);
-                // Start the first report round.
+                // Starts the first report round.
                 self.handle_monitor_event(&config.name, MonitorEvent::Timer);
             }
         }
@@ -331,8 +331,9 @@
                     SupervisorEvent::DatabaseFailed { database },
                 );
             }
-            // The database follows after the next promotion, or its operators make it
-            // follow with their own tool.
+            // The supervisor repeats the order while reports show that the database does not follow.
+            // Otherwise it follows after the next promotion, or its operators make it follow with their
+            // own tool.
             ReportPurpose::Follow => self.count("follows.failed", 1),
         }
     }
@@ -379,9 +380,9 @@
     /// Starts a switchover from each leaving primary that this node owns, once its open transactions have
     /// ended or their time limit has passed.
     pub(crate) fn start_switchovers(&mut self) {
-        let mut moves = Vec::new();
+        let mut switchovers = Vec::new();
         for (name, service) in &self.owner.services {
-            if !service.owned || !service.config.leaving || service.is_draining(self.now) {
+            if !service.owned || !service.config.leaving || service.awaits_transactions(self.now) {
                 continue;
             }
             let Some(state) = self.clusters.get(&service.cluster) else { continue };
@@ -389,10 +390,10 @@
             let confirmed = view.confirmed_ago.is_some_and(|ago| ago < MAX_SWITCHOVER_PROOF_AGE);
             if confirmed && view.leader.as_ref() == Some(name) {
                 let pins: Vec<PinKey> = service.pins.iter().copied().collect();
-                moves.push((service.cluster.clone(), view.term, pins));
+                switchovers.push((service.cluster.clone(), view.term, pins));
             }
         }
-        for (cluster, term, pins) in moves {
+        for (cluster, term, pins) in switchovers {
             for key in pins {
                 self.close_pin(key, "switchover from a leaving backend server");
             }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -25,7 +25,7 @@
 use crate::session::Session;
 use crate::step::PendingStep;
 
-/// First back-off after all databases of a cluster declined a request; it doubles up to
+/// First backoff after all databases of a cluster declined a request; it doubles up to
 /// [`MAX_BACKOFF`]. It need not be short, because a new leader ends it at once.
 const MIN_BACKOFF: Micros = Micros::from_millis(20);
 const MAX_BACKOFF: Micros = Micros::from_millis(500);
@@ -70,7 +70,7 @@
     /// The time of the valid entry in the timer heap.
     pub timer_due: Option<Micros>,
     backoff: Micros,
-    /// Databases that declined since the last back-off.
+    /// Databases that declined since the last backoff.
     declined_by: Vec<Name>,
     /// The request is sent to the primary only, for example after a replica lacked a proof.
     primary_only: bool,
@@ -132,7 +132,7 @@
         let rank = session.policy.rank;
         self.accounts.count(self.now, &session.caller, rank, CallerMeasure::Requests, 1);
         let (class, key) = classify(&request.text);
-        let own = match &class {
+        let own_answer = match &class {
             StatementClass::Session(command) => {
                 Some(self.run_command(&mut session, &request, command))
             }
@@ -153,7 +153,7 @@
             }
             _ => None,
         };
-        match own {
+        match own_answer {
             Some(answer) => {
                 self.sessions.insert(id, session);
                 let (frames, error) = match answer {
--- a/crates/node/src/entry/finish.rs
+++ b/crates/node/src/entry/finish.rs
@@ -39,13 +39,13 @@
                 age,
                 wait,
             } => {
-                let led = !request.read;
+                let is_leader = !request.read;
                 session.update_required_position(required_position, replacement_position);
                 self.entry.hints.update_status(now, &database, age, wait);
                 if replacement_position.is_some() {
                     self.count("writes.lost", 1);
                 }
-                if led {
+                if is_leader {
                     self.leader_learned(&cluster, &database);
                 }
                 self.update_transaction(id, &attempt, transaction, lane);
@@ -189,13 +189,15 @@
     /// Ends a request whose deadline passed, or that was cancelled, while no attempt was in progress.
     pub(super) fn finish_not_run(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
-        let ran = request.may_have_run;
+        let may_have_run = request.may_have_run;
         if request.interrupted && !request.cancelled {
             let message = "the read was interrupted and its deadline passed during a retry";
             return self.finish_request(id, Some(error("08006", message)), Bytes::new());
         }
         let error = match (request.cancelled, request.no_primary) {
-            _ if ran => return self.finish_unknown(id, "the deadline passed during a retry"),
+            _ if may_have_run => {
+                return self.finish_unknown(id, "the deadline passed during a retry");
+            }
             (true, _) => error("57014", "canceling statement due to user request"),
             (false, true) => error("WK003", "not run: the cluster has no reachable primary"),
             (false, false) => error("WK001", "not run: the deadline passed"),
@@ -222,7 +224,6 @@
         self.finish_request(id, Some(error), Bytes::new());
     }
 
-    /// Counts a refused request.
     pub(super) fn count_refusal(&mut self, id: SessionId) {
         self.count("requests.refused", 1);
         if let Some(session) = self.sessions.get(&id) {
--- a/crates/node/src/entry/retry.rs
+++ b/crates/node/src/entry/retry.rs
@@ -15,12 +15,12 @@
     /// Schedules a retry after all databases declined.
     pub(super) fn schedule_retry(&mut self, id: SessionId) {
         let Some(request) = self.request_mut(id) else { return };
-        let pause = request.backoff;
-        request.backoff = (pause + pause).min(MAX_BACKOFF);
+        let backoff = request.backoff;
+        request.backoff = (backoff + backoff).min(MAX_BACKOFF);
         request.declined_by.clear();
         let waits = !request.read || request.primary_only;
-        let pause = self.random.jitter(pause);
-        let retry_at = self.now + pause;
+        let backoff = self.random.jitter(backoff);
+        let retry_at = self.now + backoff;
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if let Some(request) = session.request.as_mut() {
             request.retry_at = Some(retry_at);
@@ -155,7 +155,7 @@
         age: Option<Micros>,
     ) {
         let now = self.now;
-        let led = self.known_leader(cluster).as_ref() == Some(database);
+        let is_leader = self.known_leader(cluster).as_ref() == Some(database);
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Some(request) = session.request.as_mut() else { return };
         request.primary_only = true;
@@ -165,12 +165,12 @@
         // already.
         match age {
             None => self.entry.hints.exclude(now, database),
-            Some(age) if age <= max_age && !led => {
+            Some(age) if age <= max_age && !is_leader => {
                 session.primary_until = now + REPLICA_LAG_BACKOFF
             }
             Some(_) => {}
         }
-        if !led {
+        if !is_leader {
             let measure = CallerMeasure::ReplicaDeclined;
             self.accounts.count(now, &session.caller, rank, measure, 1);
         }
--- a/crates/node/src/entry/target.rs
+++ b/crates/node/src/entry/target.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Chooses a database that has not declined since the last back-off.
+    /// Chooses a database that has not declined since the last backoff.
     fn choose_target(
         &self,
         session: &Session,
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -14,7 +14,7 @@
 use crate::step::PendingStep;
 
 /// SQLSTATE that a replica returns for a write.
-const READ_ONLY: &str = "25006";
+const READ_ONLY_TRANSACTION: &str = "25006";
 
 impl Node {
     /// Sends a request on its connection, unless its proof no longer holds.
@@ -115,7 +115,8 @@
         }
         let (commits, term) = (request.routed.commits, request.term);
         let undecided = matches!(request.stage, RequestStage::Running { decided: false, .. });
-        let read_only = summary.error.as_ref().is_some_and(|error| &*error.code == READ_ONLY);
+        let read_only =
+            summary.error.as_ref().is_some_and(|error| &*error.code == READ_ONLY_TRANSACTION);
         let stale = match undecided && !commits {
             true => self.recheck_proof(request),
             false => None,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -182,7 +182,8 @@
     }
 
     fn activate_keys(&mut self, revision: u64, bytes: &[u8]) {
-        let keys = serde_json::from_slice::<KeysDocument>(bytes).ok().and_then(|text| text.keys());
+        let keys =
+            serde_json::from_slice::<KeysDocument>(bytes).ok().and_then(|document| document.keys());
         match keys {
             Some(keys) => self.fleet.replace_keys(self.now, keys),
             None => {
@@ -201,16 +202,16 @@
         for cluster in &fleet.clusters {
             let owners = self.supervisors(cluster).len();
             let owners = u32::try_from(owners).unwrap_or(u32::MAX);
-            let mut watched = false;
+            let mut monitored = false;
             for database in &cluster.databases {
                 let owner = self.members.owner_of(&database.name, &database.data_centre);
                 if owner == own {
                     owned.insert(database.name.clone());
-                    watched = true;
+                    monitored = true;
                     self.configure_service(cluster, database, true, owners);
                 }
             }
-            if watched || self.clusters.contains_key(&cluster.name) {
+            if monitored || self.clusters.contains_key(&cluster.name) {
                 self.configure_cluster(cluster);
             }
         }
--- a/crates/node/src/frames.rs
+++ b/crates/node/src/frames.rs
@@ -1,8 +1,8 @@
 //! PostgreSQL message frames that a node parses or builds.
 //!
-//! Answers of backend servers never pass through the node. It builds the frames that answer session
-//! commands and repeated request keys and those of its own queries. It parses the messages of a request
-//! to answer each of them.
+//! Answers of backend servers never pass through the node. The node builds the frames that answer
+//! session commands and repeated request keys, and those of its own queries. It parses the messages of
+//! a request because each of them needs an answer.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use sha2::{Digest, Sha256};
--- a/crates/node/src/keyed.rs
+++ b/crates/node/src/keyed.rs
@@ -18,8 +18,10 @@
 const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS cicadawick_requests (request_key text, \
     caller text, statement_hash text, outcome text, PRIMARY KEY (request_key, caller))";
 
-const DUPLICATE_KEY: &str = "23505";
-const READ_ONLY: &str = "25006";
+/// SQLSTATE of an insert whose key exists already.
+const UNIQUE_VIOLATION: &str = "23505";
+/// SQLSTATE that a replica returns for a write.
+const READ_ONLY_TRANSACTION: &str = "25006";
 
 /// The step in progress of a keyed write.
 #[derive(Debug)]
@@ -96,7 +98,7 @@
         self.start_key_query(id, connection, KeyStep::Insert, &text);
     }
 
-    /// Returns the key and the user as SQL constants, and the hash of the statement.
+    /// Returns the key and the user (column `caller`) as SQL constants, and the hash of the statement.
     fn key_values(&self, id: RequestId) -> (String, String, String) {
         let Some(request) = self.owner.requests.get(&id) else { return Default::default() };
         let key = request.routed.request_key.as_deref().unwrap_or_default();
@@ -162,15 +164,15 @@
         let code = summary.error.as_ref().map(|error| error.code.to_string());
         let state = summary.transaction;
         match (step, summary.error.clone()) {
-            (KeyStep::CreateTable, Some(error)) if &*error.code == READ_ONLY => {
+            (KeyStep::CreateTable, Some(error)) if &*error.code == READ_ONLY_TRANSACTION => {
                 self.release_keyed_request(id, connection, state);
                 self.decline_owner_request(id, DeclineReason::NotLeader { leader: None });
             }
             (KeyStep::CreateTable, _) => {
-                // If two owners create the table at once, one of them fails although the table exists.
-                // If it does not exist, the insert fails.
-                // A table created in a client's transaction disappears if that rolls back, so it is
-                // not noted.
+                // An error is ignored: if two owners create the table at once, one of them fails although
+                // the table exists. If it does not exist, the insert fails.
+                // A table created in a client's transaction disappears if that rolls back, so its term
+                // is not stored.
                 if let Some(service) = self.owner.services.get_mut(&database).filter(|_| !pinned) {
                     service.key_table_term = Some(term);
                 }
@@ -182,8 +184,8 @@
             }
             (KeyStep::Insert, Some(error)) => {
                 let then = match code.as_deref() {
-                    Some(DUPLICATE_KEY) => AfterRollBack::Lookup,
-                    Some(READ_ONLY) => AfterRollBack::Decline,
+                    Some(UNIQUE_VIOLATION) => AfterRollBack::Lookup,
+                    Some(READ_ONLY_TRANSACTION) => AfterRollBack::Decline,
                     _ => {
                         if let Some(service) = self.owner.services.get_mut(&database) {
                             service.key_table_term = None;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -58,8 +58,8 @@
 use step::PendingStep;
 use timer::{TimerHeap, TimerKey};
 
-/// Number of callers that the accounting table keeps for each measure.
-const ACCOUNTED_CALLERS: usize = 2_048;
+/// Maximum number of callers that the accounting table keeps for each measure.
+const MAX_ACCOUNTED_CALLERS: usize = 2_048;
 
 /// Interval of periodic maintenance, such as closing surplus connections and removing unused state.
 const HOUSEKEEPING_INTERVAL: Micros = Micros::from_secs(1);
@@ -131,7 +131,7 @@
             owner: OwnerState::default(),
             clusters: BTreeMap::new(),
             reports: FastMap::default(),
-            accounts: CallerTable::new(ACCOUNTED_CALLERS),
+            accounts: CallerTable::new(MAX_ACCOUNTED_CALLERS),
             counters: BTreeMap::new(),
             drain: DrainState::default(),
             is_watcher: false,
@@ -235,7 +235,7 @@
             self.handle_member_event(MemberEvent::Timer);
         }
         self.run_cluster_timers();
-        let mut expired: Vec<Name> = self
+        let mut due_databases: Vec<Name> = self
             .owner
             .services
             .iter()
@@ -247,8 +247,8 @@
             })
             .map(|(name, _)| name.clone())
             .collect();
-        expired.sort();
-        self.steps.extend(expired.into_iter().map(PendingStep::ServeQueue));
+        due_databases.sort();
+        self.steps.extend(due_databases.into_iter().map(PendingStep::ServeQueue));
         while let Some((due, key)) = self.timers.first().filter(|(due, _)| *due <= now) {
             self.timers.remove_first();
             if !self.is_timer_current(due, key) {
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -9,9 +9,9 @@
 use crate::session::merge_labels;
 
 /// Maximum number of busy sessions, and of idle ones, that a dump lists. The counts cover all sessions.
-const DUMPED_SESSIONS: usize = 100;
+const MAX_DUMPED_SESSIONS: usize = 100;
 /// Maximum number of labels that a dump lists for each session.
-const DUMPED_LABELS: usize = 32;
+const MAX_DUMPED_LABELS: usize = 32;
 
 impl Node {
     pub(crate) fn answer_operator(&self, now: Micros, query: &OperatorQuery) -> Value {
@@ -105,7 +105,7 @@
                 state.monitor.provable_age(now, &database.name),
                 state.monitor.report(&database.name),
             );
-            let lag = report.map(|(_, report)| {
+            let report_row = report.map(|(_, report)| {
                 json!({
                     "term": report.term,
                     "role": format!("{:?}", report.role).to_lowercase(),
@@ -115,7 +115,7 @@
                 })
             });
             let row = json!({
-                "report": lag,
+                "report": report_row,
                 "reported_ms_ago":
                     report.map(|(began, _)| now.saturating_sub(began).as_millis()),
                 "provable_age_ms": age.map(Micros::as_millis),
@@ -136,9 +136,9 @@
     fn unapplied_bytes(&self, cluster: &Name, database: &Name) -> Option<u64> {
         let monitor = &self.clusters.get(cluster)?.monitor;
         let leader = monitor.view(self.now).leader?;
-        let (_, led) = monitor.report(&leader)?;
+        let (_, leader_report) = monitor.report(&leader)?;
         let (_, report) = monitor.report(database)?;
-        Some(led.applied.0.saturating_sub(report.applied.0))
+        Some(leader_report.applied.0.saturating_sub(report.applied.0))
     }
 
     fn dump_database(&self, now: Micros, name: &Name) -> Value {
@@ -185,7 +185,7 @@
         listed.sort_by_key(|(id, _)| **id);
         listed
             .into_iter()
-            .take(DUMPED_SESSIONS)
+            .take(MAX_DUMPED_SESSIONS)
             .map(|(id, session)| {
                 let request = session.request.as_ref();
                 json!({
@@ -196,7 +196,7 @@
                         .labels
                         .0
                         .iter()
-                        .take(DUMPED_LABELS)
+                        .take(MAX_DUMPED_LABELS)
                         .map(|(key, value)| (key.to_string(), json!(value)))
                         .collect::<Map<String, Value>>(),
                     "selector": session.policy.selector,
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -144,7 +144,7 @@
     pub pin: Option<PinKey>,
 }
 
-/// A database that this node owns, or no longer owns but still has requests of.
+/// A database that this node owns, or no longer owns but still has requests for.
 #[derive(Debug)]
 pub(crate) struct DatabaseService {
     pub cluster: Name,
@@ -221,7 +221,7 @@
 
     /// Returns whether the database is leaving and waits for open transactions. A primary serves other
     /// statements meanwhile, so that one slow transaction does not stop the writes of all clients.
-    pub(crate) fn is_draining(&self, now: Micros) -> bool {
+    pub(crate) fn awaits_transactions(&self, now: Micros) -> bool {
         let open = !self.pins.is_empty() || !self.opening_transactions.is_empty();
         open && self.leaving_since.is_some_and(|since| now < since + LEAVE_TIMEOUT)
     }
--- a/crates/node/src/owner/pool.rs
+++ b/crates/node/src/owner/pool.rs
@@ -89,15 +89,15 @@
     /// Closes connections that have not opened within [`OPEN_TIMEOUT`].
     pub(crate) fn close_overdue_openings(&mut self) {
         let oldest = self.now.saturating_sub(OPEN_TIMEOUT);
-        let mut late: Vec<ConnectionId> = self
+        let mut overdue: Vec<ConnectionId> = self
             .owner
             .connections
             .iter()
             .filter(|(_, backend)| !backend.open && backend.requested_at <= oldest)
             .map(|(connection, _)| *connection)
             .collect();
-        late.sort();
-        for connection in late {
+        overdue.sort();
+        for connection in overdue {
             self.emit(NodeAction::CloseBackend { connection });
             self.backend_lost(connection, "the connection did not open in time");
         }
--- a/crates/node/src/owner/reply.rs
+++ b/crates/node/src/owner/reply.rs
@@ -152,8 +152,8 @@
         let lane = self.lane_of(id);
         let Some(request) = self.remove_owner_request(id) else { return };
         let reply = match reply {
-            // After `Unknown` the entry node would retry a keyed write, and the client would receive its
-            // rows twice.
+            // After `OutcomeUnknown` the entry node would retry a keyed write, and the client would
+            // receive its rows twice.
             OwnerReply::OutcomeUnknown { message } if request.rows_relayed => {
                 OwnerReply::AnswerInterrupted { relayed: true, message }
             }
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -73,8 +73,9 @@
             return ProofCheck::Decline(DeclineReason::Unavailable);
         };
         let leads = view.leader.as_ref() == Some(&database);
-        let served = leads && service.is_draining(now) && !request.opens_transaction();
-        if service.config.leaving && !served {
+        let served_while_leaving =
+            leads && service.awaits_transactions(now) && !request.opens_transaction();
+        if service.config.leaving && !served_while_leaving {
             return ProofCheck::Decline(DeclineReason::Unavailable);
         }
         request.term = view.term;
@@ -103,7 +104,7 @@
         let Some(service) = self.owner.services.get(&request.routed.database) else { return };
         let cluster = service.cluster.clone();
         self.arm_owner_request(id, Some(deadline));
-        // Share a round that other requests asked for at this same time.
+        // Shares a round that another request asked for at the same time.
         if let Some((at, commit)) =
             self.clusters.get(&cluster).and_then(|state| state.requested_round)
             && at == self.now
@@ -164,8 +165,8 @@
                     (view.term, view.leader, confirmed)
                 });
                 match view {
-                    Some((now, Some(leader), true))
-                        if now == term && leader == request.routed.database =>
+                    Some((current_term, Some(leader), true))
+                        if current_term == term && leader == request.routed.database =>
                     {
                         None
                     }
@@ -248,11 +249,11 @@
     members: &member::MemberTable,
     database: &Name,
 ) -> DeclineReason {
-    let config = fleet.active.as_ref().and_then(|fleet| {
+    let data_centre = fleet.active.as_ref().and_then(|fleet| {
         let (_, config) = fleet.database(database)?;
         Some(config.data_centre.clone())
     });
-    match config {
+    match data_centre {
         Some(data_centre) => {
             DeclineReason::NotOwner { owner: members.owner_of(database, &data_centre) }
         }
--- a/crates/node/tests/driver/mod.rs
+++ b/crates/node/tests/driver/mod.rs
@@ -311,7 +311,7 @@
     /// Runs all events until `span` has passed.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
-        let mut turns = 0;
+        let mut events_at_now = 0;
         loop {
             let item = self.items.first_key_value().map(|((at, _), _)| *at);
             let alive = self.nodes.iter().enumerate().filter(|(at, _)| !self.killed[*at]);
@@ -327,8 +327,8 @@
                 self.now = end;
                 return;
             }
-            turns = if next > self.now { 0 } else { turns + 1 };
-            assert!(turns < 20_000, "too many events at time {}", self.now);
+            events_at_now = if next > self.now { 0 } else { events_at_now + 1 };
+            assert!(events_at_now < 20_000, "too many events at time {}", self.now);
             self.now = next;
             if item == Some(next) {
                 let (_, item) = self.items.pop_first().unwrap();
@@ -438,15 +438,15 @@
                 self.cancel_exchange(node, connection, exchange)
             }
             NodeAction::Relay { exchange } => {
-                let record = self.exchanges.get_mut(&(node, exchange)).unwrap();
-                assert!(!record.decided, "a second decision about an exchange");
-                record.decided = true;
-                let (target, text) = (record.session, record.text.clone());
+                let backend_exchange = self.exchanges.get_mut(&(node, exchange)).unwrap();
+                assert!(!backend_exchange.decided, "a second decision about an exchange");
+                backend_exchange.decided = true;
+                let (target, text) = (backend_exchange.session, backend_exchange.text.clone());
                 self.relayed.entry(target.unwrap()).or_default().push(text);
             }
             NodeAction::Discard { exchange } => {
-                if let Some(record) = self.exchanges.get_mut(&(node, exchange)) {
-                    record.decided = true;
+                if let Some(backend_exchange) = self.exchanges.get_mut(&(node, exchange)) {
+                    backend_exchange.decided = true;
                 }
             }
             NodeAction::RequestReport { ref database, .. }
@@ -600,21 +600,21 @@
         if target.is_some() {
             self.received_statements.push((database.clone(), text.clone()));
         }
-        let record =
+        let backend_exchange =
             BackendExchange { session, mode, text: text.clone(), finished: false, decided: false };
-        self.exchanges.insert((node, exchange), record);
+        self.exchanges.insert((node, exchange), backend_exchange);
         let after = NETWORK_DELAY + self.databases[&database].service_time;
         self.schedule(after, ScheduledItem::Execute { node, connection, exchange, text, mode });
     }
 
     fn cancel_exchange(&mut self, node: usize, connection: ConnectionId, exchange: ExchangeId) {
-        let Some(record) = self.exchanges.get_mut(&(node, exchange)) else { return };
+        let Some(backend_exchange) = self.exchanges.get_mut(&(node, exchange)) else { return };
         let Some(backend) = self.connections.get_mut(&(node, connection)) else { return };
         let found = &self.databases[&backend.database];
-        if record.finished || found.frozen || found.down {
+        if backend_exchange.finished || found.frozen || found.down {
             return;
         }
-        record.finished = true;
+        backend_exchange.finished = true;
         if backend.state == TransactionState::Open {
             backend.state = TransactionState::Failed;
         }
@@ -638,13 +638,13 @@
         mode: RelayMode,
     ) {
         let Some(mut backend) = self.connections.remove(&(node, connection)) else { return };
-        let record = self.exchanges.get_mut(&(node, exchange)).unwrap();
+        let backend_exchange = self.exchanges.get_mut(&(node, exchange)).unwrap();
         let found = self.databases[&backend.database].clone();
-        if record.finished || found.frozen {
+        if backend_exchange.finished || found.frozen {
             self.connections.insert((node, connection), backend);
             return;
         }
-        record.finished = true;
+        backend_exchange.finished = true;
         if found.large_answers && matches!(mode, RelayMode::Hold(_)) {
             self.schedule_event(
                 NETWORK_DELAY,
--- a/crates/node/tests/random.rs
+++ b/crates/node/tests/random.rs
@@ -69,7 +69,7 @@
             .iter()
             .filter(|key| !self.closed.contains(key) && !self.driver.killed[key.0])
             .filter(|(node, id)| {
-                !self.driver.closed.iter().any(|(other, gone, _)| other == node && gone == id)
+                !self.driver.closed.iter().any(|(other, closed, _)| other == node && closed == id)
             })
             .collect();
         (!live.is_empty()).then(|| *live[at % live.len()])
@@ -93,11 +93,11 @@
                 let Some(key) = self.usable(session) else { return };
                 // The I/O driver sends one request at a time.
                 if self.sent.get(&key).copied().unwrap_or(0) == self.ended(key) {
-                    let place = self.sent.entry(key).or_default();
+                    let index = self.sent.entry(key).or_default();
                     let text = TEXTS[text].replace('N', &self.texts.len().to_string());
                     self.driver.send(key.0, key.1, &text);
-                    self.texts.push((key, *place, text));
-                    *place += 1;
+                    self.texts.push((key, *index, text));
+                    *index += 1;
                 }
             }
             TestStep::Close { session } => {
@@ -135,11 +135,11 @@
 
     /// Checks the results that clients received against the writes that databases committed.
     fn check_outcomes(&self) -> Result<(), TestCaseError> {
-        for (key, place, text) in &self.texts {
+        for (key, index, text) in &self.texts {
             let Some((_, value)) = text.split_once("values") else { continue };
             let commits = self.driver.count_commits(value);
             prop_assert!(commits <= 1, "{text} ran {commits} times");
-            let finish = self.driver.finishes.get(key).and_then(|finishes| finishes.get(*place));
+            let finish = self.driver.finishes.get(key).and_then(|finishes| finishes.get(*index));
             let Some(finish) = finish else { continue };
             if finish.code().starts_with("WK") {
                 prop_assert_eq!(commits, 0, "{} was reported as not run", text);
@@ -192,9 +192,9 @@
                 continue;
             }
             let ended = random_run.ended(*key);
-            let gone = random_run.closed.contains(key)
+            let closed = random_run.closed.contains(key)
                 || random_run.driver.closed.iter().any(|closed| (closed.0, closed.1) == *key);
-            prop_assert!(ended == *sent || (gone && ended + 1 == *sent),
+            prop_assert!(ended == *sent || (closed && ended + 1 == *sent),
                 "{ended} ends of {sent} requests of {key:?}");
         }
         for key in random_run.sessions.clone() {
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -393,8 +393,8 @@
     let finish = driver.query(0, session, "insert into t values (1)");
     let token = finish.token.unwrap();
     let labels = [("cicadawick.token", token.as_str()), ("cicadawick.labels", "kind=aged")];
-    let roamed = driver.open(1, "phone", &labels);
-    let finish = driver.query(1, roamed, "select 1");
+    let second = driver.open(1, "phone", &labels);
+    let finish = driver.query(1, second, "select 1");
     assert_eq!(finish.code(), "");
     assert_eq!(driver.databases_reached_by("select 1"), ["db1"]);
     let forged = driver.open(1, "phone", &[("cicadawick.token", "forged")]);
@@ -596,7 +596,7 @@
             .collect();
         serde_json::to_vec(&keys).unwrap()
     };
-    let give = |driver: &mut Driver, ids: &[u8]| {
+    let deliver_keys = |driver: &mut Driver, ids: &[u8]| {
         let revision = u64::from(*ids.iter().max().unwrap());
         let bytes = document(ids).into();
         let document = "token-keys".into();
@@ -608,13 +608,13 @@
         route::SessionToken::verify(&finish.token.unwrap(), &only(id)).is_ok()
     };
     assert!(signed_with(&mut driver, 1), "the only key signs at once");
-    give(&mut driver, &[1, 2]);
+    deliver_keys(&mut driver, &[1, 2]);
     assert!(signed_with(&mut driver, 1));
     driver.advance(Micros::from_secs(19));
     assert!(signed_with(&mut driver, 1));
     driver.advance(Micros::from_secs(1));
     assert!(signed_with(&mut driver, 2));
-    give(&mut driver, &[3]);
+    deliver_keys(&mut driver, &[3]);
     assert!(signed_with(&mut driver, 3), "the only key signs at once");
 }
 
