--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -508,7 +508,7 @@
         self.databases.len() / 2 + 1
     }
 
-    /// Whether the reported log is a prefix of the log of the primary of `self.term`.
+    /// Returns whether the reported log is a prefix of the log of the primary of `self.term`.
     fn is_on_primary_log(&self, report: &DatabaseReport) -> bool {
         if self.faults.ignore_lineage {
             return true;
@@ -525,7 +525,7 @@
         }
     }
 
-    /// Whether the log up to a required position is part of the log of `self.term`.
+    /// Returns whether the log up to a required position is part of the log of `self.term`.
     fn log_survival(&self, required: RequiredPosition) -> LogSurvival {
         if self.faults.ignore_lineage {
             return LogSurvival::Survived;
@@ -752,13 +752,13 @@
         });
     }
 
-    /// When the next round is due if no commit waits.
+    /// Returns when the next round is due if no commit waits.
     fn idle_due(&self) -> Micros {
         self.rounds.back().map_or(Micros::ZERO, |round| round.began + self.config.idle_interval)
     }
 
-    /// When the next round is due because commits wait; none while the current round can still
-    /// answer them or no commit waits.
+    /// Returns when the next round is due because commits wait; `None` while no commit waits or the
+    /// current round can still answer them.
     fn commit_due(&self) -> Option<Micros> {
         if self.commits.is_empty() {
             return None;
@@ -777,8 +777,8 @@
         Some(if new { round.began } else { round.began + ROUND_RETRY_INTERVAL })
     }
 
-    /// When the primary, or any database if the primary is unknown, can be asked; none while a
-    /// request is in flight.
+    /// Returns when the primary, or any database if the primary is unknown, can be asked; `None` while
+    /// a request is in flight.
     fn commit_ready_at(&self) -> Option<Micros> {
         self.databases
             .iter()
--- a/crates/failover/tests/support/mod.rs
+++ b/crates/failover/tests/support/mod.rs
@@ -186,7 +186,7 @@
     Name::from(format!("{prefix}{index}"))
 }
 
-/// Length of the part that two logs share.
+/// Returns the length of the part that two logs share.
 fn common_length(left: &[(LogEntry, u64)], right: &[(LogEntry, u64)]) -> usize {
     let (mut low, mut high) = (0, left.len().min(right.len()));
     while low < high {
@@ -288,13 +288,13 @@
         }
     }
 
-    /// The primary of the newest term.
+    /// Returns the primary of the newest term.
     pub fn primary(&self) -> Option<usize> {
         let newest = self.databases.iter().map(|database| database.term).max().unwrap();
         self.databases.iter().position(|database| database.primary && database.term == newest)
     }
 
-    /// Nodes whose monitor confirmed a round within the last 1.5 s.
+    /// Returns the number of nodes whose monitor confirmed a round within the last 1.5 s.
     pub fn confirming_nodes(&self) -> usize {
         let fresh = |node: &&ModelNode| {
             let view = node.monitor.view(Micros(self.now));
@@ -749,13 +749,13 @@
         }
     }
 
-    /// Whether a log has an entry at its index.
+    /// Returns whether a log has an entry at its index.
     fn has_entry(&self, log: &[LogEntry], entry: &LogEntry) -> bool {
         log.get(self.entry_positions[entry]) == Some(entry)
     }
 
-    /// Whether the log of `term` has the entry at a required position. The position may be past the
-    /// write, because it is the primary's at a later round.
+    /// Returns whether the log of `term` has the entry at a required position. The position may be past
+    /// the write, because it is the primary's at a later round.
     fn is_position_kept(&self, required: RequiredPosition, term: u64) -> bool {
         let at = required.position.0 as usize - 1;
         let entry = |term: u64| self.terms[&term].log.get(at).map(|(entry, _)| *entry);
