--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Reports the end of the shutdown once all requests have finished or the drain timeout has passed.
+    /// Reports the end of the shutdown once all sessions and requests have ended or the drain timeout
+    /// has passed.
     pub(crate) fn check_drained(&mut self) {
         let DrainState::Draining { until } = self.drain else { return };
         let overdue = self.now >= until;
--- a/crates/node/src/proof.rs
+++ b/crates/node/src/proof.rs
@@ -113,6 +113,7 @@
             requests.push(id);
             return;
         }
+        // The monitor acknowledges this like a commit, with a confirmed round that begins from now on.
         let commit = CommitId(self.next_id());
         self.owner.commits.insert(commit, CommitPurpose::Round(vec![id]));
         if let Some(state) = self.clusters.get_mut(&cluster) {
