--- a/crates/edge/src/codec.rs
+++ b/crates/edge/src/codec.rs
@@ -63,7 +63,7 @@
     /// Writes an error that ends a session before or instead of a reply.
     fn write_refusal(code: ErrorCode, text: &str, output: &mut BytesMut);
 
-    /// Writes the answer to a request. `position` is given only if a peer node is asking.
+    /// Writes the answer to a request. `position` is given only if another node sent the request.
     fn write_reply(
         reply: &ClientReply,
         state: TransactionState,
--- a/crates/edge/src/driver.rs
+++ b/crates/edge/src/driver.rs
@@ -36,7 +36,7 @@
 /// Unread output at which a client's connection is closed: twice the largest answer.
 const MAX_UNREAD_OUTPUT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Rows accepted in one answer. The users' databases never send more, so the connection to one that does is closed.
+/// Maximum number of rows in one answer. The users' databases send no more; a connection that exceeds it is closed.
 const MAX_ANSWER_ROWS: usize = 4_096;
 
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
@@ -57,7 +57,7 @@
 struct BackendSocket {
     socket: BufferedSocket,
     opened: bool,
-    /// One entry for each unanswered command: whether its answer is a report.
+    /// For each unanswered command, whether its answer is a report.
     unanswered: std::collections::VecDeque<bool>,
     rows: Vec<Bytes>,
     answer_end: Option<AnswerEnd>,
@@ -534,14 +534,14 @@
                     self.advance_gate(cx, GateEvent::ConnectionOpened { connection, position });
                 }
                 BackendMessage::Ready { state, position } => {
-                    let (Some(end), Some(reports)) =
+                    let (Some(end), Some(is_report)) =
                         (backend.answer_end.take(), backend.unanswered.pop_front())
                     else {
                         log::warn!("\"event\":\"answer_unexpected\",\"link\":{id}");
                         return self.drop_backend(cx, id);
                     };
                     let rows = std::mem::take(&mut backend.rows);
-                    let report = if reports { P::Codec::read_report(&rows) } else { None };
+                    let report = if is_report { P::Codec::read_report(&rows) } else { None };
                     let answer = Box::new(BackendAnswer { rows, end, state, position, report });
                     self.advance_gate(cx, GateEvent::ConnectionAnswered { connection, answer });
                 }
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -159,7 +159,7 @@
     fn end_lease(&self, lease: u64) -> Result<(), StoreError>;
 
     /// Asks the platform to promote a database, as the given holder of the promotion lease. The request must
-    /// not reach the platform after this returned.
+    /// not reach the platform after this has returned.
     fn promote(
         &self,
         cluster: &Name,
@@ -332,7 +332,7 @@
         let wait = if self.forwards_only() { STANDBY_WATCH_TIMEOUT } else { WATCH_TIMEOUT };
         let (changes, next) = self.client.watch(after, wait)?;
         let changed = !changes.is_empty();
-        let registered = changes.iter().any(changes_registration);
+        let registrations_changed = changes.iter().any(changes_registration);
         for change in changes {
             match &change {
                 StoreChange::Set(item) => self.registered_nodes.extend(registered_node(item)),
@@ -346,7 +346,8 @@
         }
         if changed && self.forwards_only() {
             thread::sleep(STANDBY_WATCH_INTERVAL);
-        } else if registered && self.registered_nodes.len() > SMALL_DEPLOYMENT_MAX_NODES {
+        } else if registrations_changed && self.registered_nodes.len() > SMALL_DEPLOYMENT_MAX_NODES
+        {
             thread::sleep(OWNER_WATCH_INTERVAL);
         }
         Ok(next)
