--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -34,7 +34,7 @@
     pub(crate) reply: mpsc::Sender<serde_json::Value>,
 }
 
-/// The HTTP server and its thread. Drop ends the thread after the answer in progress.
+/// The HTTP server and its thread. Dropping it ends the thread after the answer in progress.
 pub(crate) struct AdminServer {
     server: Arc<tiny_http::Server>,
     thread: Option<JoinHandle<()>>,
--- a/crates/daemon/src/backend.rs
+++ b/crates/daemon/src/backend.rs
@@ -323,7 +323,7 @@
             kind::ERROR => {
                 let error = pg::read_error(frame.body()).map_err(invalid)?;
                 if error.severity == "FATAL" || error.severity == "PANIC" {
-                    // Only the backend connection ends, not the client's, so the node reports the
+                    // Ends only the backend connection, not the client's, so the node reports the
                     // error.
                     return Err(format!(
                         "{} ended the connection: {} (SQLSTATE {})",
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -7,7 +7,6 @@
 use cadence::{BufferedUdpMetricSink, Counted, Gauged, StatsdClient};
 use model::SocketAddress;
 
-/// Prefix of metric names.
 const METRIC_PREFIX: &str = "cicadawick";
 
 /// The counters of one process.
@@ -37,7 +36,6 @@
         Ok(CounterSet { values: BTreeMap::new(), client })
     }
 
-    /// Adds to a counter.
     pub(crate) fn add(&mut self, name: &'static str, amount: u64) {
         *self.values.entry(name).or_default() += amount;
         if let Some(client) = &self.client {
--- a/crates/daemon/src/driver.rs
+++ b/crates/daemon/src/driver.rs
@@ -1,10 +1,9 @@
 //! The actor that owns the node state machine and executes its actions.
 //!
-//! Sessions, connections, peers, threads and timers report to the driver, which passes each report to
-//! the node as an event with the loop's time and executes the resulting actions in order. It also
-//! owns every other actor, so that dropping an entry of its tables releases everything the entry
-//! held. The submodules handle clients, backend servers, peers, and the platform with operators'
-//! requests.
+//! Sessions, connections, peers, threads and timers notify the driver, which passes an event with the
+//! loop's time to the node and executes the resulting actions in order. It also owns every other
+//! actor, so that dropping an entry of its tables releases everything the entry held. The submodules
+//! handle clients, backend servers, peers, and the platform with operators' requests.
 
 mod backends;
 mod clients;
@@ -54,10 +53,11 @@
 /// Interval at which idle peer connections are closed, configured peers probed and metrics sent.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Configured peers that are sent a heartbeat at once.
+/// Number of configured peers that are probed at a time.
 const PEER_PROBE_COUNT: usize = 4;
 
-/// Connections beyond `caller_limit` that stay open to receive the error that says so.
+/// Client connections beyond `caller_limit` that are kept open until the error that refuses them is
+/// sent. Further ones are closed without an error.
 const REFUSED_CONNECTION_LIMIT: usize = 64;
 
 /// Time after the drain timeout at which the process ends in any case.
@@ -121,7 +121,7 @@
     actions: VecDeque<NodeAction>,
     client_listener: Option<MioSource<TcpListener>>,
     peer_listener: MioSource<TcpListener>,
-    // Dropped before the server, so that requests that are still queued fail at once.
+    // Dropped before the server, so that requests that are still queued fail immediately.
     _admin_channel: ChannelGuard,
     _admin: AdminServer,
     scratch: ScratchBuffer,
--- a/crates/daemon/src/driver/control.rs
+++ b/crates/daemon/src/driver/control.rs
@@ -76,7 +76,7 @@
             });
         }
         let mut dump = self.node.answer(self.now(cx), &node::OperatorQuery::Dump);
-        let shell = json!({
+        let daemon_dump = json!({
             "uptime_ms": self.now(cx).as_millis(),
             "draining": self.draining,
             "session_count": self.sessions.len(),
@@ -95,13 +95,13 @@
         });
         cx.defer(move |_| {
             let (sessions, backends) = rows.take();
-            let mut shell = shell;
-            shell["sessions"] = sessions.into();
-            shell["backends"] = backends.into();
+            let mut daemon_dump = daemon_dump;
+            daemon_dump["sessions"] = sessions.into();
+            daemon_dump["backends"] = backends.into();
             if !dump.is_object() {
                 dump = json!({ "node": dump });
             }
-            dump["shell"] = shell;
+            dump["shell"] = daemon_dump;
             let _ = reply.send(dump);
         });
     }
@@ -113,8 +113,8 @@
         }
         self.draining = true;
         log::info!("draining sessions={}", self.sessions.len());
-        let limit = Duration::from_micros(self.settings.drain_timeout.0) + DRAIN_GRACE;
-        after!(limit, [cx], drain_timed_out());
+        let timeout = Duration::from_micros(self.settings.drain_timeout.0) + DRAIN_GRACE;
+        after!(timeout, [cx], drain_timed_out());
         self.node_event(cx, NodeEvent::DrainRequested);
     }
 
--- a/crates/daemon/src/driver/peers.rs
+++ b/crates/daemon/src/driver/peers.rs
@@ -96,7 +96,7 @@
             NodeAction::AnswerForward { call, reply, lane } => {
                 self.discard_held(AnswerTarget::Call(call));
                 if let Some(answers) = self.peer_calls.remove(&call) {
-                    // Fails if the peer dropped the call, of which the node gets an event of its own.
+                    // Fails if the peer dropped the call, which another event reports to the node.
                     let _ = answers.unbounded_send(AnswerPart::End(reply, lane));
                 }
             }
@@ -201,7 +201,7 @@
             PeerRequest::Heartbeat { heartbeat, reply } => {
                 self.node_event(cx, NodeEvent::HeartbeatArrived(heartbeat));
                 if let Some(heartbeat) = self.node.heartbeat() {
-                    // Fails if the peer has dropped the call.
+                    // Fails if the peer dropped the call.
                     let _ = reply.send(heartbeat);
                 }
             }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Why a daemon could not run.
+/// Why a daemon could not start or keep running.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     #[error("failed to listen on {key} {address}: {source}")]
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 ///
-/// Fails if an address cannot be bound or the loop cannot be set up.
+/// Fails if an address cannot be bound, or if the event loop cannot be set up or fails.
 pub fn run(mut settings: NodeSettings, options: RunOptions) -> Result<(), DaemonError> {
     let client_listener = listen("caller_address", &mut settings.caller_address)?;
     let peer_listener = listen("peer_address", &mut settings.peer_address)?;
@@ -167,7 +167,7 @@
     Ok(listener)
 }
 
-/// A thread that turns signals into shutdown requests; drop ends it.
+/// A thread that turns signals into shutdown requests; dropping the handle ends it.
 struct SignalThread {
     handle: signal_hook::iterator::Handle,
 }
--- a/crates/daemon/src/platform_threads.rs
+++ b/crates/daemon/src/platform_threads.rs
@@ -21,7 +21,8 @@
 /// Time that a blocking query waits at the platform. It is long because each return counts as a call.
 const WATCH_WAIT: Duration = Duration::from_secs(55);
 
-/// Timeout of a call that does not wait for a change. A promotion waits this long for its record.
+/// Timeout of a call that does not wait for a change. A promotion waits at most this long for its
+/// record.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Delay after a failed watch, so that an outage does not cause a burst of calls.
