--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -104,16 +104,16 @@
     pub platform: FakePlatform,
     pub options: FleetOptions,
     peer_addresses: Vec<SocketAddr>,
-    /// Reserve the nodes' ports. The fault proxy and the other nodes' settings name the peer ports,
-    /// so a node cannot choose its own.
+    /// Reservations of the nodes' ports. The fault proxy and the other nodes' settings name the peer
+    /// ports, so a node cannot choose its own.
     reserved: Vec<PortReservation>,
     dial_files: Vec<PathBuf>,
     _permit: FleetPermit,
 }
 
 impl TestFleet {
-    /// Starts a fleet and waits until all nodes know each other and each cluster takes writes through
-    /// each node.
+    /// Starts a fleet and waits until all nodes know each other and each cluster accepts writes
+    /// through each node.
     pub fn start(options: FleetOptions) -> Self {
         let mut fleet = TestFleet::prepare(options);
         for node in 0..fleet.options.nodes {
@@ -240,7 +240,8 @@
 
     /// Starts a node, or restarts it with the same peer address.
     pub fn start_node(&mut self, node: usize) {
-        let (clients, admin) = (PortReservation::new().unwrap(), PortReservation::new().unwrap());
+        let (client_port, admin_port) =
+            (PortReservation::new().unwrap(), PortReservation::new().unwrap());
         let peers: Vec<String> = self
             .peer_addresses
             .iter()
@@ -251,15 +252,15 @@
         let settings = json!({
             "name": node_name(node),
             "data_centre": centre_name(self.centre(node)),
-            "caller_address": clients.address().unwrap().to_string(),
+            "caller_address": client_port.address().unwrap().to_string(),
             "peer_address": self.peer_addresses[node].to_string(),
-            "admin_address": admin.address().unwrap().to_string(),
+            "admin_address": admin_port.address().unwrap().to_string(),
             "platform_address": self.links.address(&link_name(node, "platform")).unwrap().to_string(),
             "peers": peers,
             "drain_timeout_ms": 2_000,
             "log_level": std::env::var("CICADAWICK_TEST_LOG").unwrap_or("error".to_owned()),
         });
-        self.reserved.extend([clients, admin]);
+        self.reserved.extend([client_port, admin_port]);
         let proxy = start_proxy_with(&settings, Some(&self.dial_files[node]));
         self.platform.put_vm(FakeVm {
             name: node_name(node),
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -79,7 +79,7 @@
             stop: Arc::default(),
         };
         for node in 0..fleet.options.nodes {
-            monitor.follow(fleet, node);
+            monitor.start_polling(fleet, node);
             let (addresses, lower) = (monitor.addresses.clone(), monitor.lower.clone());
             let (samples, stop) = (monitor.samples.clone(), monitor.stop.clone());
             std::thread::spawn(move || {
@@ -110,13 +110,13 @@
     }
 
     /// Starts to poll a node at its current address.
-    fn follow(&self, fleet: &TestFleet, node: usize) {
+    fn start_polling(&self, fleet: &TestFleet, node: usize) {
         let address = fleet.node(node).admin_address;
         self.addresses.lock().unwrap().insert(node, address);
     }
 
     /// Stops polling a node that is about to stop.
-    fn unfollow(&self, node: usize) {
+    fn stop_polling(&self, node: usize) {
         self.addresses.lock().unwrap().remove(&node);
     }
 
@@ -260,10 +260,10 @@
         assert_eq!(run.code, 5, "{run:?}");
         assert!(run.err.contains("platform"), "{run:?}");
 
-        monitor.unfollow(node);
+        monitor.stop_polling(node);
         fleet.stop_node(node);
         fleet.start_node(node);
-        monitor.follow(&fleet, node);
+        monitor.start_polling(&fleet, node);
         wait_for_deadline(&fleet, 0..5, 6_004);
         wait_until("the new node serves writes", || fleet.accepts_write(node, 0));
         fleet.platform.set_outage(OutageMode::None).unwrap();
@@ -323,14 +323,14 @@
         assert_eq!(fleet.revision(*node), 2, "a change crossed the partition");
     }
     fleet.set_partitioned(0, false, true);
-    let joined = Instant::now();
+    let healed = Instant::now();
     wait_for_deadline(&fleet, 0..5, 6_009);
-    println!("active after the partition was healed: {:?}", joined.elapsed());
+    println!("active after the partition was healed: {:?}", healed.elapsed());
     wait_until("all nodes agree on the owners again", || {
         (0..5).all(|node| owners(node) == owners(0))
             && owners(0).iter().any(|owner| !inside_names.contains(owner))
     });
-    println!("all nodes agree on the owners again: {:?}", joined.elapsed());
+    println!("all nodes agree on the owners again: {:?}", healed.elapsed());
     monitor.check(&fleet);
 }
 
@@ -361,10 +361,10 @@
         wait_for_deadline(&fleet, 0..5, deadline_ms);
         let mode = if node % 2 == 0 { OutageMode::None } else { OutageMode::Refuse };
         fleet.platform.set_outage(mode).unwrap();
-        monitor.unfollow(node);
+        monitor.stop_polling(node);
         fleet.stop_node(node);
         fleet.start_node(node);
-        monitor.follow(&fleet, node);
+        monitor.start_polling(&fleet, node);
         wait_for_deadline(&fleet, 0..5, deadline_ms);
         assert!((0..5).all(|node| fleet.revision(node) == revision));
         fleet.platform.set_outage(OutageMode::None).unwrap();
--- a/crates/daemon/tests/consistency.rs
+++ b/crates/daemon/tests/consistency.rs
@@ -41,7 +41,7 @@
     GroupOptions::new("billing", 3)
 }
 
-/// Sets how late the replicas apply what they receive at once.
+/// Sets the delay between receiving and applying at the replicas, which receive without delay.
 fn set_lag(fleet: &SessionFleet, lag: Duration) {
     for name in ["billing-2", "billing-3"] {
         fleet.group.set_lag(name, Duration::ZERO, lag).unwrap();
@@ -83,17 +83,17 @@
     set_lag(&fleet, Duration::from_secs(3));
     // The round trip to the primary is longer than that to the replicas, so that a replica would
     // answer first if it were asked.
-    let way = Duration::from_millis(2);
-    fleet.links.set_delay("billing-1", way, way).unwrap();
-    let mut absent = far.connect();
+    let one_way_delay = Duration::from_millis(2);
+    fleet.links.set_delay("billing-1", one_way_delay, one_way_delay).unwrap();
+    let mut far_client = far.connect();
     for n in 1..=60 {
         assert_eq!(write_tick(&mut client, n), RequestOutcome::Done(1));
         assert_eq!(read_tick(&mut client), Ok(n), "own write through the same proxy");
         let token = token(&mut client);
         assert_eq!(read_tick(&mut connect_with(far, &token)), Ok(n), "token at start-up");
         let set = format!("SET cicadawick.token = '{token}'");
-        absent.batch_execute(&set).unwrap();
-        assert_eq!(read_tick(&mut absent), Ok(n), "token by SET");
+        far_client.batch_execute(&set).unwrap();
+        assert_eq!(read_tick(&mut far_client), Ok(n), "token by SET");
 
         // An invalid token counts as absent; the session then sees everything that was acknowledged
         // before the token arrived.
@@ -107,9 +107,9 @@
                 continue;
             }
             assert_eq!(read_tick(&mut connect_with(far, bad)), Ok(n), "token {bad} of {token}");
-            let mut present = far.connect();
-            present.batch_execute(&format!("SET cicadawick.token = '{bad}'")).unwrap();
-            assert_eq!(read_tick(&mut present), Ok(n), "SET of {bad}");
+            let mut other = far.connect();
+            other.batch_execute(&format!("SET cicadawick.token = '{bad}'")).unwrap();
+            assert_eq!(read_tick(&mut other), Ok(n), "SET of {bad}");
         }
         assert_eq!(read_tick(&mut far.connect()), Ok(n), "no token");
     }
@@ -123,7 +123,7 @@
     create_ticks(&mut client);
     set_lag(&fleet, Duration::from_secs(3));
     assert_eq!(write_tick(&mut client, 1), RequestOutcome::Done(1));
-    let old = token(&mut client);
+    let old_token = token(&mut client);
     let keys = |revision: u64, ids: &[u32]| {
         let list: Vec<_> = ids
             .iter()
@@ -141,19 +141,21 @@
     for (revision, ids, is_valid) in [(2, &[1, 2][..], true), (3, &[2][..], false)] {
         let stored = fleet.platform_client().get("cicadawick/token-keys").unwrap().unwrap();
         fleet.put_token_keys(&keys(revision, ids), stored.modify_index);
-        let mut changed = String::new();
+        let mut new_token = String::new();
         wait_until("the keys are in force", || {
             assert_eq!(write_tick(&mut client, 2), RequestOutcome::Done(1));
-            changed = token(&mut client);
+            new_token = token(&mut client);
             let mut other = RawClient::open(far);
-            other.query(&format!("SET cicadawick.token = '{changed}'"));
+            other.query(&format!("SET cicadawick.token = '{new_token}'"));
             let accepted = !other.transcript().contains("is ignored");
             let mut other = RawClient::open(far);
-            other.query(&format!("SET cicadawick.token = '{old}'"));
-            accepted && changed != old && other.transcript().contains("is ignored") != is_valid
+            other.query(&format!("SET cicadawick.token = '{old_token}'"));
+            accepted
+                && new_token != old_token
+                && other.transcript().contains("is ignored") != is_valid
         });
-        assert_eq!(read_tick(&mut connect_with(far, &changed)), Ok(2));
-        assert_eq!(read_tick(&mut connect_with(far, &old)), Ok(2), "{ids:?}");
+        assert_eq!(read_tick(&mut connect_with(far, &new_token)), Ok(2));
+        assert_eq!(read_tick(&mut connect_with(far, &old_token)), Ok(2), "{ids:?}");
     }
 }
 
@@ -362,10 +364,10 @@
             std::thread::sleep(pause / 3);
         });
         report("links to the replicas frozen for 1.5 s", &result);
-        let late = Duration::from_millis(350);
+        let answer_delay = Duration::from_millis(350);
         let result = read_phase(&fleet, &ticks, ACCEPTED, settle, || {
             for name in ["billing-2", "billing-3"] {
-                fleet.links.set_delay(name, way, late).unwrap();
+                fleet.links.set_delay(name, way, answer_delay).unwrap();
             }
             std::thread::sleep(pause);
         });
--- a/crates/daemon/tests/failover.rs
+++ b/crates/daemon/tests/failover.rs
@@ -128,14 +128,14 @@
         let mut figures = Vec::new();
         for number in 0..count {
             // Chooses the cluster and the phase of the polls.
-            let mixed = random.next_u64();
-            let cluster = (mixed % clusters.len() as u64) as usize;
+            let choice = random.next_u64();
+            let cluster = (choice % clusters.len() as u64) as usize;
             let (group, (monitor, writers)) = (&fleet.groups[cluster], &clusters[cluster]);
-            let settled = Instant::now();
+            let since = Instant::now();
             for writer in writers {
-                wait_until("writes are acknowledged", || writer.acknowledged_since(settled));
+                wait_until("writes are acknowledged", || writer.acknowledged_since(since));
             }
-            std::thread::sleep(Duration::from_millis(mixed / 8 % 250));
+            std::thread::sleep(Duration::from_millis(choice / 8 % 250));
 
             let (old, term) = (group.primary().unwrap(), monitor.last_term());
             let before = fleet.platform.counters();
@@ -412,9 +412,9 @@
     let (_, gap) = run_scenario(&fleet, |run| {
         let (old, term) = (run.primary(), run.monitor.last_term());
         let dump = fleet.node(0).get("/v1/dump");
-        let owner =
+        let supervisor =
             dump["clusters"][cluster_name(0)]["supervisors"][0].as_str().unwrap().to_owned();
-        let node = (0..5).find(|node| node_name(*node) == owner).unwrap();
+        let node = (0..5).find(|node| node_name(*node) == supervisor).unwrap();
         fleet.platform.set_outage(OutageMode::Hang).unwrap();
         fleet.node(node).signal("-STOP");
         fleet.groups[0].freeze(&old).unwrap();
--- a/crates/daemon/tests/ownership.rs
+++ b/crates/daemon/tests/ownership.rs
@@ -166,11 +166,11 @@
         let log = client.finish();
         assert_eq!(log.mismatched, Vec::<String>::new(), "answers of other requests");
         // A failed write is refused or of unknown outcome. A started read may fail with 08006.
-        let writes = log.write_errors.into_iter().map(|code| (code, "08007"));
-        let reads_failed = log.read_errors.into_iter().map(|code| (code, "08006"));
-        for (code, started) in writes.chain(reads_failed) {
+        let write_errors = log.write_errors.into_iter().map(|code| (code, "08007"));
+        let read_errors = log.read_errors.into_iter().map(|code| (code, "08006"));
+        for (code, interrupted_code) in write_errors.chain(read_errors) {
             let session_ended = ended.contains(&node) && ["closed", "57P01"].contains(&&*code);
-            let expected_code = code.starts_with("WK") || code == started;
+            let expected_code = code.starts_with("WK") || code == interrupted_code;
             assert!(expected_code || session_ended, "a client of node {node} got {code}");
             *errors.entry(code).or_default() += 1;
         }
@@ -234,13 +234,13 @@
     // Drop kills the process.
     fleet.nodes[owner] = None;
     let killed = Instant::now();
-    let (dead, alive): (Vec<_>, Vec<_>) =
+    let (owner_clients, other_clients): (Vec<_>, Vec<_>) =
         clients.into_iter().partition(|client| client.node == owner);
-    wait_for_writes(&alive, killed);
+    wait_for_writes(&other_clients, killed);
     println!("writes through all others {:?} after the kill", killed.elapsed());
     let asked = (0..3).find(|node| *node != owner).unwrap();
     assert_ne!(owner_of(&fleet, asked, &primary), owner);
-    check_results(fleet, alive.into_iter().chain(dead).collect(), &[owner]);
+    check_results(fleet, other_clients.into_iter().chain(owner_clients).collect(), &[owner]);
 }
 
 // Guards against exceeded limits and wrong answers while a database has two owners, which happens
@@ -287,9 +287,9 @@
     let mut finished = Vec::new();
     for node in [3, 2] {
         fleet.stop_node(node);
-        let (gone, left): (Vec<_>, Vec<_>) =
+        let (stopped, remaining): (Vec<_>, Vec<_>) =
             clients.into_iter().partition(|client| client.node == node);
-        (finished, clients) = (finished.into_iter().chain(gone).collect(), left);
+        (finished, clients) = (finished.into_iter().chain(stopped).collect(), remaining);
         wait_for_writes(&clients, Instant::now());
     }
     for node in [2, 3] {
@@ -364,7 +364,7 @@
     fleet
 }
 
-/// Reads that accept old data, through each node, until dropped.
+/// Clients that read through each node and accept old data, until dropped.
 struct CatalogueReaders(Arc<AtomicBool>, Vec<JoinHandle<()>>);
 
 impl CatalogueReaders {
@@ -415,11 +415,11 @@
     wait_until("the replica serves reads", || granted_statements(&fleet, &replica) > start + 50);
     apply_leaving(&fleet, &[&primary, &replica]);
     std::thread::sleep(Duration::from_secs(3));
-    let then = [&primary, &replica].map(|name| granted_statements(&fleet, name));
+    let granted = [&primary, &replica].map(|name| granted_statements(&fleet, name));
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(
         [&primary, &replica].map(|name| granted_statements(&fleet, name)),
-        then,
+        granted,
         "new statements"
     );
     wait_for_writes(&clients, Instant::now());
--- a/crates/daemon/tests/payments.rs
+++ b/crates/daemon/tests/payments.rs
@@ -161,14 +161,14 @@
 
 /// Retries a statement with a key until it is acknowledged; returns its row count.
 fn retry_until_done(proxies: &[&ProxyProcess], sql: &str) -> u64 {
-    let mut outcome = 0;
-    let mut turn = 0;
+    let mut row_count = 0;
+    let mut attempt = 0;
     wait_until("a retry is acknowledged", || {
-        turn += 1;
-        let client = proxies[turn % proxies.len()].try_connect("billing", "");
+        attempt += 1;
+        let client = proxies[attempt % proxies.len()].try_connect("billing", "");
         match client.map(|mut client| run(&mut client, sql)) {
             Ok(RequestOutcome::Done(count)) => {
-                outcome = count;
+                row_count = count;
                 true
             }
             Ok(RequestOutcome::Error(code)) => {
@@ -181,11 +181,11 @@
             Err(_) => false,
         }
     });
-    outcome
+    row_count
 }
 
 /// Starts purchases with keys over a slow link, injects a fault while they run, retries all of them
-/// through other proxies and checks that each has run once.
+/// through all remaining proxies and checks that each has run once.
 fn run_with_fault(mut fleet: SessionFleet, inject_fault: impl FnOnce(&mut SessionFleet)) {
     const COUNT: usize = 40;
     let mut setup_client = fleet.proxies[0].connect();
@@ -198,8 +198,8 @@
     assert_eq!(run(&mut setup_client, &purchase(900, true)), RequestOutcome::Done(1));
     // Each step of a conversation takes 30 ms and the starts are spread, so that the fault occurs in
     // all phases of a purchase.
-    let way = Duration::from_millis(15);
-    fleet.links.set_delay("billing-1", way, way).unwrap();
+    let one_way_delay = Duration::from_millis(15);
+    fleet.links.set_delay("billing-1", one_way_delay, one_way_delay).unwrap();
     // Running a DELETE again would give another row count.
     let statement = |number: usize| match number % 2 {
         0 => purchase(number, true),
@@ -228,13 +228,13 @@
             answer => assert!(answer.is_unknown(), "{number} {answer:?}"),
         }
     }
-    let alive: Vec<&ProxyProcess> = fleet.proxies.iter().collect();
+    let remaining: Vec<&ProxyProcess> = fleet.proxies.iter().collect();
     for (number, answer) in answers.iter().enumerate() {
         let expected = if number % 2 == 0 { 1 } else { 2 };
         if let RequestOutcome::Done(count) = answer {
             assert_eq!(*count, expected, "{number}");
         }
-        assert_eq!(retry_until_done(&alive, &statement(number)), expected, "retry of {number}");
+        assert_eq!(retry_until_done(&remaining, &statement(number)), expected, "retry of {number}");
     }
     let after = purchases(&fleet);
     for number in (0..COUNT).step_by(2) {
@@ -291,8 +291,8 @@
     let mut fleet = SessionFleet::start(FleetSetup::new(3));
     let mut setup_client = fleet.proxies[0].connect();
     setup_client.batch_execute("CREATE TABLE purchases (id bigint, meter text)").unwrap();
-    let way = Duration::from_millis(15);
-    fleet.links.set_delay("billing-1", way, way).unwrap();
+    let one_way_delay = Duration::from_millis(15);
+    fleet.links.set_delay("billing-1", one_way_delay, one_way_delay).unwrap();
     let requests: Vec<_> = (0..COUNT)
         .map(|number| {
             let mut client = fleet.proxies[number % 3].connect();
--- a/crates/daemon/tests/ranks.rs
+++ b/crates/daemon/tests/ranks.rs
@@ -234,8 +234,8 @@
         );
     }
     // All statements take the same time, so a share of the slot time equals a share of the
-    // statements. The queue may owe a rank one statement, and each end of the count may split one in
-    // each slot.
+    // statements. The queue may be one statement behind for a rank, and each end of the count may
+    // split one in each slot.
     let tolerance = 1 + 2 * SLOTS as usize;
     for ((kind, _, _, minimum_share), ran) in KINDS.into_iter().zip(ran) {
         let least = (total * minimum_share as usize / 100).saturating_sub(tolerance);
--- a/crates/daemon/tests/transactions.rs
+++ b/crates/daemon/tests/transactions.rs
@@ -158,14 +158,14 @@
     for proxy in &fleet.proxies {
         drop(lock_row(proxy, 1));
         // More statements than slots, whose clients disconnect while they run or wait.
-        let mut leaving: Vec<RawClient> = (0..5).map(|_| RawClient::open(proxy)).collect();
-        for raw_client in &mut leaving {
+        let mut disconnecting: Vec<RawClient> = (0..5).map(|_| RawClient::open(proxy)).collect();
+        for raw_client in &mut disconnecting {
             raw_client.query("SELECT pg_sleep(30)");
         }
         wait_until("the slots are taken", || {
             fleet.group.counters("billing-1").unwrap().slots_busy == 2
         });
-        drop(leaving);
+        drop(disconnecting);
         let update = "UPDATE meters SET n = n + 1 WHERE id = 1";
         assert_eq!(run(&mut client, update), RequestOutcome::Done(1));
         wait_until_released(&fleet);
@@ -405,15 +405,15 @@
         let _stop = StopGuard(&stop);
         // With changing delays, answers overtake those of other connections.
         scope.spawn(|| {
-            let mut turn = 0u64;
+            let mut step = 0u64;
             while !stop.load(Ordering::SeqCst) {
-                turn += 1;
-                let delay = Duration::from_millis([0, 12, 3, 25][turn as usize % 4]);
+                step += 1;
+                let delay = Duration::from_millis([0, 12, 3, 25][step as usize % 4]);
                 fleet.links.set_delay("billing-1", Duration::ZERO, delay).unwrap();
                 std::thread::sleep(Duration::from_millis(4));
             }
         });
-        let clients: Vec<_> = (0..8)
+        let threads: Vec<_> = (0..8)
             .map(|session| {
                 let proxy = &fleet.proxies[session % 2];
                 scope.spawn(move || {
@@ -436,7 +436,7 @@
                 })
             })
             .collect();
-        let results: Vec<_> = clients.into_iter().map(|raw_client| raw_client.join()).collect();
+        let results: Vec<_> = threads.into_iter().map(|thread| thread.join()).collect();
         stop.store(true, Ordering::SeqCst);
         assert!(results.iter().all(Result::is_ok));
     });
