--- a/crates/daemon/tests/consistency.rs
+++ b/crates/daemon/tests/consistency.rs
@@ -142,7 +142,7 @@
         let stored = fleet.platform_client().get("cicadawick/token-keys").unwrap().unwrap();
         fleet.put_token_keys(&keys(revision, ids), stored.modify_index);
         let mut new_token = String::new();
-        wait_until("the keys are in force", || {
+        wait_until("the keys are active", || {
             assert_eq!(write_tick(&mut client, 2), RequestOutcome::Done(1));
             new_token = token(&mut client);
             let mut other = RawClient::open(far);
@@ -287,7 +287,7 @@
 }
 
 /// Checks the age of answers and the share of replica reads at several lags and under replica faults.
-fn measure_ages(slots: u32, connections: u32, way: Duration) {
+fn measure_ages(slots: u32, connections: u32, one_way_delay: Duration) {
     const ACCEPTED: Duration = Duration::from_millis(1_000);
     let mut options = group();
     (options.slots, options.connections) = (slots, connections);
@@ -295,11 +295,11 @@
     let mut client = writer(&fleet.proxies[0]);
     create_ticks(&mut client);
     for name in fleet.group.names() {
-        fleet.links.set_delay(name, way, way).unwrap();
+        fleet.links.set_delay(name, one_way_delay, one_way_delay).unwrap();
     }
     let ticks = TickLog(Mutex::new(vec![Instant::now()]));
     let stop = AtomicBool::new(false);
-    let title = format!("{slots} slots, {connections} connections, {way:?} one way");
+    let title = format!("{slots} slots, {connections} connections, {one_way_delay:?} one way");
     let mut stale = 0;
     std::thread::scope(|scope| {
         scope.spawn(|| {
@@ -367,7 +367,7 @@
         let answer_delay = Duration::from_millis(350);
         let result = read_phase(&fleet, &ticks, ACCEPTED, settle, || {
             for name in ["billing-2", "billing-3"] {
-                fleet.links.set_delay(name, way, answer_delay).unwrap();
+                fleet.links.set_delay(name, one_way_delay, answer_delay).unwrap();
             }
             std::thread::sleep(pause);
         });
