--- a/crates/member/src/contact.rs
+++ b/crates/member/src/contact.rs
@@ -8,7 +8,7 @@
 /// to 0.2%.
 pub(crate) const RESEND_TIMEOUT: Micros = Micros::from_millis(400);
 
-/// Delay of this process after which an expired probe is not proof of a failure.
+/// Delay of this process from which an expired probe no longer proves a failure.
 const MAX_PROBE_DELAY: Micros = Micros::from_millis(500);
 
 /// State of the heartbeats to one node.
@@ -49,21 +49,20 @@
         self.states.get(name).map_or(0, |state| state.missed)
     }
 
-    /// Tells whether the node answered within `span`.
+    /// Returns whether the node answered within `span`.
     pub(crate) fn answered_within(&self, name: &str, now: Micros, span: Micros) -> bool {
         let answered = self.states.get(name).and_then(|state| state.answered_at);
         answered.is_some_and(|at| now.saturating_sub(at) <= span)
     }
 
-    /// Tells whether the node answered its last heartbeat, so that the next one may be skipped.
+    /// Returns whether the node answered its last heartbeat, so that the next one may be skipped.
     pub(crate) fn answered_last(&self, name: &str) -> bool {
         let settled =
             |state: &ContactState| state.unanswered_since.is_none() && state.answered_at.is_some();
         self.states.get(name).is_some_and(settled)
     }
 
-    /// Records an answer.
-    pub(crate) fn answered(&mut self, name: &Name, now: Micros) {
+    pub(crate) fn record_answer(&mut self, name: &Name, now: Micros) {
         let state = self.entry(name);
         state.unanswered_since = None;
         state.resent = false;
@@ -105,10 +104,12 @@
     pub(crate) fn take_failed_probes(&mut self, now: Micros) -> Vec<Name> {
         let mut names = Vec::new();
         for (name, state) in &mut self.states {
-            let Some(until) = state.probe_deadline.filter(|until| *until <= now) else { continue };
+            let Some(deadline) = state.probe_deadline.filter(|deadline| *deadline <= now) else {
+                continue;
+            };
             state.probe_deadline = None;
             // After a pause of this process the answer may still be unread.
-            if now.saturating_sub(until) < MAX_PROBE_DELAY {
+            if now.saturating_sub(deadline) < MAX_PROBE_DELAY {
                 names.push(name.clone());
             }
         }
--- a/crates/member/src/gossip.rs
+++ b/crates/member/src/gossip.rs
@@ -105,7 +105,7 @@
         newer
     }
 
-    /// Tells whether to pull a document of which a peer holds `revision`.
+    /// Returns whether to pull a document of which a peer holds `revision`.
     pub(crate) fn should_pull(&mut self, now: Micros, document: &Name, revision: u64) -> bool {
         if self.held.get(document).is_some_and(|held| *held >= revision) || revision == 0 {
             return false;
--- a/crates/member/src/hash.rs
+++ b/crates/member/src/hash.rs
@@ -1,11 +1,11 @@
-//! Highest-random-weight hashing.
+//! Highest-random-weight (rendezvous) hashing.
 //!
 //! All nodes of the fleet must agree on owners, also across builds, so the hash is written out here
 //! and its values are fixed by a test.
 
 use model::Name;
 
-/// Returns the weight of a node for a key. The highest weight owns the key.
+/// Returns the score of a node for a key. The node with the highest score owns the key.
 ///
 /// ```
 /// let (one, two) = (member::owner_score("billing-1-a", "vm-1"), member::owner_score("billing-1-a", "vm-2"));
--- a/crates/member/src/layout.rs
+++ b/crates/member/src/layout.rs
@@ -1,4 +1,4 @@
-//! Orders derived from the member table: the heartbeat ring, owners and watchers.
+//! The heartbeat ring, owners and watchers, derived from the member table.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     pub(crate) reachable: bool,
 }
 
-/// Orders derived from one state of the table; rebuilt when the table changes.
+/// Ring, owners and watchers for one state of the table; rebuilt when the table changes.
 #[derive(Debug, Default)]
 pub(crate) struct MemberLayout {
     /// Live members of the own data centre by the hash of their name, this node included.
--- a/crates/member/src/table.rs
+++ b/crates/member/src/table.rs
@@ -46,10 +46,13 @@
 /// Intervals between two heartbeats to dead members, which detect that a partition healed.
 const DEAD_PROBE_ROUNDS: u64 = 5;
 
-/// A table is pulled once this node's table is unchanged and the digest differs for these times, or
-/// once the digest differs for the long time.
-const PULL_QUIET_TIME: Micros = Micros::from_secs(1);
+/// Time for which this node's table must be unchanged before it pulls a table with another digest.
+const PULL_STABLE_TIME: Micros = Micros::from_secs(1);
+
+/// Time for which the digest must differ before a pull.
 const PULL_DIFFERENCE_TIME: Micros = Micros::from_secs(2);
+
+/// Time after which a differing digest causes a pull even if this node's table keeps changing.
 const PULL_LONG_DIFFERENCE_TIME: Micros = Micros::from_secs(5);
 
 /// Shortest time between two table pulls of a joining node.
@@ -189,7 +192,8 @@
     },
     /// The set of members that may own something changed.
     OwnersChanged,
-    /// A member died or restarted: what it held on this node must be released.
+    /// A member died, restarted, or became unreachable with its data centre: what it held on this node
+    /// must be released.
     MemberLost(Name),
 }
 
@@ -378,8 +382,8 @@
         self.layout.watchers_of(data_centre).first().cloned()
     }
 
-    /// Tells whether the members of a data centre may own something here. False while no watcher of
-    /// it answers the watcher of this data centre.
+    /// Returns whether the members of a data centre may own something here. False while neither
+    /// its watcher nor the watcher's successors answer the watcher of this data centre.
     pub fn is_reachable(&self, data_centre: &str) -> bool {
         self.reachability.get(data_centre).is_none_or(|version| version.is_multiple_of(2))
     }
--- a/crates/member/src/table/merge.rs
+++ b/crates/member/src/table/merge.rs
@@ -5,7 +5,7 @@
 use super::{
     Heartbeat, JOINING_MEMBER_LIMIT, JOINING_PULL_INTERVAL, MAX_MEMBERS, MAX_PULL_INTERVAL,
     MIN_PULL_INTERVAL, MemberAction, MemberEntry, MemberInfo, MemberState, MemberTable,
-    PULL_DIFFERENCE_TIME, PULL_LONG_DIFFERENCE_TIME, PULL_QUIET_TIME, PlatformVm, REACH_PREFIX,
+    PULL_DIFFERENCE_TIME, PULL_LONG_DIFFERENCE_TIME, PULL_STABLE_TIME, PlatformVm, REACH_PREFIX,
     REFUTATION_BITS,
 };
 
@@ -52,7 +52,7 @@
             return;
         }
         let unknown = !self.entries.contains_key(&from.name);
-        self.contacts.answered(&from.name, now);
+        self.contacts.record_answer(&from.name, now);
         self.listed.remove(&from.name);
         if let Some(entry) = self.entries.get_mut(&from.name)
             && entry.info.state == MemberState::Suspected
@@ -207,10 +207,10 @@
         if !newer {
             return;
         }
-        let heard = self.config.heartbeat_interval + self.config.heartbeat_interval;
+        let recent = self.config.heartbeat_interval + self.config.heartbeat_interval;
         if dead
             && info.incarnation == held.incarnation
-            && self.contacts.answered_within(&info.name, now, heard)
+            && self.contacts.answered_within(&info.name, now, recent)
         {
             // The member answered this node recently; it refutes the death when it learns of it.
             let info = info.clone();
@@ -321,9 +321,9 @@
         }
         let since = *contact.differs_since.get_or_insert(now);
         let differs = now.saturating_sub(since);
-        let quiet = now.saturating_sub(self.changed_at) >= PULL_QUIET_TIME;
+        let stable = now.saturating_sub(self.changed_at) >= PULL_STABLE_TIME;
         let due =
-            (quiet && differs >= PULL_DIFFERENCE_TIME) || differs >= PULL_LONG_DIFFERENCE_TIME;
+            (stable && differs >= PULL_DIFFERENCE_TIME) || differs >= PULL_LONG_DIFFERENCE_TIME;
         if due && now >= self.pull_after {
             self.pull_after = now + self.pull_interval;
             let doubled = self.pull_interval + self.pull_interval;
--- a/crates/member/tests/fleet.rs
+++ b/crates/member/tests/fleet.rs
@@ -486,7 +486,7 @@
     assert_eq!(fleet.false_deaths, 0);
 }
 
-/// Guards against two owners on one side, and against tables that stay different after the partition
+/// Guards against two owners in one partition, and against tables that stay different after the partition
 /// heals.
 #[test]
 fn partitioned_data_centres_choose_owners_and_merge() {
@@ -517,15 +517,18 @@
         };
         let start = fleet.now;
         while !all_owned_locally(&fleet) {
-            assert!(fleet.now - start < Micros::from_secs(8), "no owners of the own side");
+            assert!(
+                fleet.now - start < Micros::from_secs(8),
+                "a database has no owner in one of the partitions"
+            );
             fleet.run_for(Micros::from_millis(100));
         }
-        println!("{count} nodes: owners of the own side {} after a partition", fleet.now - start);
+        println!("{count} nodes: owners in each partition {} after its start", fleet.now - start);
         fleet.run_for(Micros::from_secs(10));
         for partition in &partitions {
             fleet.agreed_owners(partition);
         }
-        // Changes on both sides while they are apart.
+        // Changes in both partitions.
         let dead = fleet.kill(partitions[0][1]);
         let source = partitions[1][0];
         fleet.hold_document(source, DOCUMENT.into(), 9);
@@ -578,7 +581,7 @@
     assert!((0..20).filter(|at| *at != 4).all(|at| FleetModel::dead_at(&fleet.nodes[at], &name)));
     fleet.resume(4);
     let took = fleet.run_until_all(Micros::from_secs(6), |node| FleetModel::alive_at(node, &name));
-    println!("20 nodes: paused process alive for all {took} after it continued");
+    println!("20 nodes: paused process alive for all {took} after it resumed");
     let after = fleet.nodes[0].table.member(&name).unwrap();
     assert!(after.incarnation > before);
     assert_eq!(after.process_incarnation(), before >> 12);
