--- a/crates/model/src/label.rs
+++ b/crates/model/src/label.rs
@@ -78,7 +78,7 @@
 }
 
 impl MatchRule {
-    /// Tells whether the labels satisfy the rule. A missing key satisfies `!=` and `notin`.
+    /// Returns whether the labels satisfy the rule. A missing key satisfies `!=` and `notin`.
     pub fn matches(&self, labels: &LabelSet) -> bool {
         let value = labels.get(&self.key);
         match &self.operator {
@@ -106,7 +106,7 @@
 }
 
 impl LabelSelector {
-    /// Tells whether the labels satisfy all rules.
+    /// Returns whether the labels satisfy all rules.
     pub fn matches(&self, labels: &LabelSet) -> bool {
         self.rules.iter().all(|rule| rule.matches(labels))
     }
--- a/crates/model/src/settings.rs
+++ b/crates/model/src/settings.rs
@@ -23,11 +23,13 @@
     pub platform_address: SocketAddress,
     /// Peers to contact first while the platform is unavailable.
     pub peers: Vec<SocketAddress>,
-    /// Where counters are sent in statsd format; none if absent.
+    /// Where counters are sent in statsd format; if absent, none are sent.
     pub metrics_address: Option<SocketAddress>,
     /// User that the node connects as to backend servers.
     pub database_user: Name,
+    /// Most client connections at once.
     pub caller_limit: u32,
+    /// Size above which a client's request is refused.
     pub request_limit_bytes: u32,
     /// Longest time that a graceful shutdown waits for requests in flight.
     pub drain_timeout: Micros,
