--- a/crates/stats/src/lib.rs
+++ b/crates/stats/src/lib.rs
@@ -182,22 +182,21 @@
             .filter(recent)
             .map(|window| &window.measures[measure as usize])
             .collect();
-        let max_unlisted_count: u64 =
-            sets.iter().map(|set| set.max_unlisted_count(self.capacity)).sum();
+        let unlisted_sum: u64 = sets.iter().map(|set| set.max_unlisted_count(self.capacity)).sum();
         let mut merged: FastMap<&Name, CallerRow> = FastMap::default();
         for set in &sets {
-            let own = set.max_unlisted_count(self.capacity);
+            let unlisted = set.max_unlisted_count(self.capacity);
             for counter in &set.counters {
-                // The lowest count of each window is replaced by the caller's own if the window lists
-                // it.
+                // A row starts with the unlisted maximum of every window. Each window that lists the
+                // caller replaces its part by the caller's own count and error.
                 let row = merged.entry(&counter.caller).or_insert_with(|| CallerRow {
                     caller: counter.caller.clone(),
                     rank: counter.rank,
-                    count: max_unlisted_count,
-                    error: max_unlisted_count,
+                    count: unlisted_sum,
+                    error: unlisted_sum,
                 });
-                row.count = row.count - own + counter.count;
-                row.error = row.error - own + counter.error;
+                row.count = row.count - unlisted + counter.count;
+                row.error = row.error - unlisted + counter.error;
             }
         }
         top_rows(merged.into_values().collect(), rows)
