--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -137,7 +137,8 @@
             continue;
         }
         let rules: Vec<MatchRule> = matches.rules.into_iter().map(canonical_rule).collect();
-        // If all rules of an earlier selector are among these rules, it matches everything that these match.
+        // If all rules of an earlier selector are among these rules, it matches everything that these
+        // match.
         let covering = earlier_selectors
             .iter()
             .find(|(other, _)| other.iter().all(|rule| rules.contains(rule)));
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -35,7 +35,8 @@
     convert_settings(reader).map_err(|error| vec![crate::schema_error(file, &error)])
 }
 
-/// Reports listeners that would share a port, on which a process cannot listen twice.
+/// Reports listeners with the same port and overlapping IP addresses, which one process cannot open
+/// together.
 fn check_addresses(parser: &mut SchemaParser<'_>, reader: node_settings::Reader<'_>) {
     let keys = [
         ("caller_address", reader.get_caller_address()),
--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -293,7 +293,7 @@
         &mut self,
         path: &str,
         spec: &KeySpec,
-        node: &Value<'_>,
+        value: &Value<'_>,
         text: &str,
     ) -> capnp::Result<bool> {
         let accepted = match spec.kind {
@@ -310,20 +310,20 @@
                 Ok(_) => true,
                 Err(error) => {
                     // In a literal with escapes the offset differs from the one in the decoded text.
-                    let literal = &self.text[node.start()..node.end()];
+                    let literal = &self.text[value.start()..value.end()];
                     let inside = match text.find(&error.part) {
                         Some(at) if !literal.contains('\\') => 1 + at,
                         _ => 0,
                     };
-                    self.error(node.start() + inside, path, error.to_string());
+                    self.error(value.start() + inside, path, error.to_string());
                     return Ok(false);
                 }
             },
         };
         if accepted {
-            self.offsets.insert(path.to_string(), node.start());
+            self.offsets.insert(path.to_string(), value.start());
         } else {
-            self.unexpected_value(path, node, spec.expected_element()?);
+            self.unexpected_value(path, value, spec.expected_element()?);
         }
         Ok(accepted)
     }
