--- a/crates/pg/src/extended.rs
+++ b/crates/pg/src/extended.rs
@@ -315,7 +315,7 @@
                 self.frames.put_slice(&message.bytes);
                 Ok(())
             }
-            // The shell splits requests at Flush where it must. The others are ignored outside COPY.
+            // The daemon splits requests at Flush where it must. The others are ignored outside COPY.
             kind::FLUSH | kind::SYNC | kind::COPY_DATA | kind::COPY_DONE | kind::COPY_FAIL => {
                 Ok(())
             }
@@ -409,7 +409,7 @@
     /// Number of the current request.
     request_number: u64,
     /// Client names left on the connection by a `Parse` that was sent to provoke an error.
-    stale: Vec<String>,
+    stale_names: Vec<String>,
     expected: VecDeque<ExpectedCompletion>,
 }
 
@@ -420,7 +420,7 @@
             limit,
             prepared: Vec::new(),
             request_number: 0,
-            stale: Vec::new(),
+            stale_names: Vec::new(),
             expected: VecDeque::new(),
         }
     }
@@ -458,7 +458,7 @@
             return frames;
         }
         let mut sent = BytesMut::with_capacity(frames.len());
-        for name in std::mem::take(&mut self.stale) {
+        for name in std::mem::take(&mut self.stale_names) {
             put_close(&mut sent, b'S', &name);
             self.expect_close(false, None);
         }
@@ -530,9 +530,9 @@
         if !name.starts_with(STATEMENT_PREFIX) {
             let provokes_error = !name.is_empty()
                 && query.is_empty()
-                && !self.stale.iter().any(|stale| stale == name);
+                && !self.stale_names.iter().any(|stale| stale == name);
             if provokes_error {
-                self.stale.push(name.to_owned());
+                self.stale_names.push(name.to_owned());
             }
             let relay = !provokes_error;
             self.expected.push_back(ExpectedCompletion::Parse { relay, name: None });
--- a/crates/pg/src/message.rs
+++ b/crates/pg/src/message.rs
@@ -83,7 +83,7 @@
     put(buffer, ReadyForQuery::new(status));
 }
 
-/// Appends a `NegotiateProtocolVersion` that offers protocol 3.0 without options.
+/// Appends a `NegotiateProtocolVersion` that offers protocol 3.0 and lists the unsupported options.
 pub fn put_negotiate_version(buffer: &mut BytesMut, unsupported: Vec<String>) {
     put(buffer, NegotiateProtocolVersion::new(0, unsupported));
 }
--- a/crates/pg/tests/statements.rs
+++ b/crates/pg/tests/statements.rs
@@ -54,7 +54,7 @@
         FakeBackend { statements, names: Vec::new(), executed: Vec::new() }
     }
 
-    fn run(&mut self, sent: Bytes) -> Vec<u8> {
+    fn exchange(&mut self, sent: Bytes) -> Vec<u8> {
         let mut answers = Vec::new();
         let mut portal = None;
         for frame in frames(&self.statements.rewrite(sent)) {
@@ -99,7 +99,7 @@
 
 fn request(table: &mut StatementTable, backend: &mut FakeBackend, messages: &[Frame]) -> String {
     let sent = table.rewrite(messages).unwrap().frames;
-    let answers = backend.run(sent);
+    let answers = backend.exchange(sent);
     answers.iter().for_each(|answer| table.record_answer(*answer));
     String::from_utf8(answers).unwrap()
 }
