--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -39,7 +39,7 @@
 /// Error of a call to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerCallError {
-    /// The connection sent no byte, so the call did not reach the peer.
+    /// No byte of the call was sent, so it did not reach the peer.
     #[error("failed to reach peer {address}: {message}")]
     NotSent { address: SocketAddress, message: String },
     /// The call may have reached the peer.
@@ -558,8 +558,8 @@
             return Ok(None);
         }
         let chunk = Bytes::copy_from_slice(params.get()?.get_chunk()?);
-        let (permit, written) = oneshot::channel::<()>();
-        (self.chunks)(chunk, ChunkPermit::new(move || drop(permit)));
+        let (sender, written) = oneshot::channel::<()>();
+        (self.chunks)(chunk, ChunkPermit::new(move || drop(sender)));
         Ok(Some(written))
     }
 }
--- a/crates/rpc/tests/peers.rs
+++ b/crates/rpc/tests/peers.rs
@@ -251,8 +251,8 @@
         let lane = answer.take().unwrap().ok().unwrap().lane.unwrap();
         harness.expect_finished();
         let second = forward(&mut harness, Some(&lane));
-        let (_, on, _, answers) = harness.next_execute();
-        assert_eq!(on, Some(LaneId(4)));
+        let (_, lane_id, _, answers) = harness.next_execute();
+        assert_eq!(lane_id, Some(LaneId(4)));
         if connection_breaks {
             stream.close();
             drop(answers);
