--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -11,8 +11,8 @@
 use crate::ConfigError;
 use crate::parser::SchemaParser;
 
-/// Maximum sum of the minimum shares of all ranks, in percent. The rest of the slot time stays available
-/// to the most urgent requests.
+/// Maximum sum of the minimum shares of all ranks, in percent. The rest of the slot time stays
+/// available to the most urgent requests.
 const MAX_SHARE_SUM_PERCENT: u32 = 90;
 
 /// Parses and validates a configuration text. `revision` is the one of the envelope.
--- a/crates/config/src/parser.rs
+++ b/crates/config/src/parser.rs
@@ -1,8 +1,8 @@
 //! Parses a JSON text according to the schema, by reflection.
 //!
-//! Every accepted value is written into a Cap'n Proto message of the schema's type, whose readers supply
-//! the defaults. The parser also records the position of each accepted value, so that checks that
-//! compare values can report a position.
+//! Every accepted value is written into a Cap'n Proto message of the schema's type, whose readers
+//! supply the defaults. The parser also records the position of each accepted value, so that checks
+//! that compare values can report a position.
 
 use std::net::SocketAddr;
 
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -30,8 +30,8 @@
     };
     let mut text = String::new();
     if let TypeVariant::Struct(raw) = root.which() {
-        // Reading the compiled-in schema fails only if the crates do not match. The tests that parse the
-        // examples would then fail.
+        // Reading the compiled-in schema fails only if the crates do not match. The tests that
+        // parse the examples would then fail.
         let _ = render_struct(&mut text, StructSchema::new(raw), 0);
     }
     text.push('\n');
--- a/crates/config/tests/errors.rs
+++ b/crates/config/tests/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of invalid files. Guards against errors that lack the position, the key or the accepted range,
-//! and against validation checks that are lost.
+//! Errors of invalid files. Guards against errors that lack the position, the key or the accepted
+//! range, and against validation checks that are lost.
 
 use config::{ConfigError, ExampleFile, parse_fleet, parse_settings, render_example};
 
