--- a/crates/member/src/table/detect.rs
+++ b/crates/member/src/table/detect.rs
@@ -94,8 +94,8 @@
         });
     }
 
-    /// Returns whether a regular heartbeat is not needed in this round. A distant contact gets one every
-    /// few rounds as long as it answers, and one in every round from the first miss on.
+    /// Returns whether a regular heartbeat is not needed in this round. A distant contact gets one
+    /// every few rounds as long as it answers, and one in every round from the first miss on.
     fn may_skip(&self, target: &Name, near: &[Name], no_repeats: bool) -> bool {
         let turn = self.rounds.wrapping_add(text_hash(target));
         no_repeats
--- a/crates/member/tests/fleet.rs
+++ b/crates/member/tests/fleet.rs
@@ -486,8 +486,8 @@
     assert_eq!(fleet.false_deaths, 0);
 }
 
-/// Guards against two owners in one partition, and against tables that stay different after the partition
-/// heals.
+/// Guards against two owners in one partition, and against tables that stay different after the
+/// partition heals.
 #[test]
 fn partitioned_data_centres_choose_owners_and_merge() {
     for (count, data_centres) in [(9, 4), (94, 4), (660, 7)] {
