--- a/crates/pg/src/extended.rs
+++ b/crates/pg/src/extended.rs
@@ -6,16 +6,19 @@
 //! ([`ConnectionStatements`]) tracks which shared names it has prepared.
 //!
 //! Session and connection exchange ordinary protocol messages, so that these pass through queues and
-//! peers unchanged. The connection tells the cases of `Parse` and `Close` apart by their order and names:
+//! peers unchanged. The connection tells the cases of `Parse` and `Close` apart by their order and
+//! names:
 //!
-//! - `Close(S, shared)` directly before `Parse(shared)`: the client's own `Parse`. Both are sent and the
-//!   `CloseComplete` is not relayed. The backend server parses again, so the client sees its errors.
-//! - `Parse(shared)` without that `Close`: added by the session. It is dropped if the connection has the
-//!   statement, otherwise sent, and its `ParseComplete` is not relayed.
+//! - `Close(S, shared)` directly before `Parse(shared)`: the client's own `Parse`. Both are sent
+//!   and the `CloseComplete` is not relayed. The backend server parses again, so the client sees
+//!   its errors.
+//! - `Parse(shared)` without that `Close`: added by the session. It is dropped if the connection
+//!   has the statement, otherwise sent, and its `ParseComplete` is not relayed.
 //! - `Parse(name, "")` with a name that is not shared: the client parses a name that it already uses.
 //!   The answer to this `Parse` is not relayed. It makes the client's own `Parse`, which follows, fail
 //!   as it would on a direct connection.
-//! - `Close(S, cicadawick_none)`: the client closes a name of its own, which the connection does not know.
+//! - `Close(S, cicadawick_none)`: the client closes a name of its own, which the connection does
+//!   not know.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -76,7 +79,8 @@
 /// A rewritten request for the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExtendedRequest {
-    /// Texts of the statements that the messages parse, bind or describe, separated by `;` and a newline.
+    /// Texts of the statements that the messages parse, bind or describe, separated by `;` and a
+    /// newline.
     pub text: String,
     /// The rewritten messages with a final `Sync`.
     pub frames: Bytes,
@@ -91,7 +95,8 @@
 
 impl StatementText {
     fn new(query: &str, types: &[u8]) -> Self {
-        // The hash is cryptographic: if two texts had one name, a session could run another's statement.
+        // The hash is cryptographic: if two texts had one name, a session could run another's
+        // statement.
         let digest = Sha256::new().chain_update(types).chain_update(query).finalize();
         let mut shared_name = String::with_capacity(STATEMENT_PREFIX.len() + 32);
         shared_name.push_str(STATEMENT_PREFIX);
@@ -490,7 +495,8 @@
         sent.freeze()
     }
 
-    /// Records the type of a message from the backend server. Returns whether to relay it to the client.
+    /// Records the type of a message from the backend server. Returns whether to relay it to the
+    /// client.
     pub fn record_answer(&mut self, answer_kind: u8) -> bool {
         match answer_kind {
             kind::PARSE_COMPLETE | kind::CLOSE_COMPLETE => match self.expected.pop_front() {
--- a/crates/pg/src/frame.rs
+++ b/crates/pg/src/frame.rs
@@ -119,7 +119,8 @@
 }
 
 impl AnswerScanner {
-    /// Scans the next chunk and calls `visit` with the type byte of each frame whose header is complete.
+    /// Scans the next chunk and calls `visit` with the type byte of each frame whose header is
+    /// complete.
     pub fn scan(&mut self, mut chunk: &[u8], mut visit: impl FnMut(u8)) {
         while !chunk.is_empty() {
             if self.body_remaining > 0 {
--- a/crates/pg/tests/statements.rs
+++ b/crates/pg/tests/statements.rs
@@ -1,5 +1,5 @@
-//! Tests of the extended protocol over shared connections. A client must receive what a direct connection
-//! would answer, whichever connection executes its request.
+//! Tests of the extended protocol over shared connections. A client must receive what a direct
+//! connection would answer, whichever connection executes its request.
 
 #![allow(clippy::unwrap_used)]
 
