--- a/crates/route/src/classify.rs
+++ b/crates/route/src/classify.rs
@@ -301,8 +301,8 @@
         || WRITE_FUNCTION_PREFIXES.iter().any(|prefix| name.starts_with(prefix))
 }
 
-/// Returns whether the statement has a SQL function body, `BEGIN ATOMIC ... END`, in which semicolons do
-/// not end the statement.
+/// Returns whether the statement has a SQL function body, `BEGIN ATOMIC ... END`, in which
+/// semicolons do not end the statement.
 fn has_atomic_body(tokens: &[Token<'_>]) -> bool {
     StatementWords(tokens).is_at(0, "create")
         && StatementWords(tokens).has_sequence(&["begin", "atomic"])
