--- a/crates/rpc/src/pool.rs
+++ b/crates/rpc/src/pool.rs
@@ -75,7 +75,8 @@
 }
 
 impl TaskPool {
-    /// Creates an empty pool. The event loop must have a poll waker, which `stakker_mio::MioPoll` sets up.
+    /// Creates an empty pool. The event loop must have a poll waker, which `stakker_mio::MioPoll`
+    /// sets up.
     pub fn new(core: &mut Core) -> Self {
         let id = NEXT_POOL_ID.fetch_add(1, Ordering::Relaxed);
         let state = Rc::new_cyclic(|weak: &Weak<PoolState>| {
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -36,8 +36,8 @@
     options
 }
 
-/// Allocates ids for calls that arrive and counts the unfinished ones. The ids have the highest bit set,
-/// so that they differ from the ids that the node gives to its own calls.
+/// Allocates ids for calls that arrive and counts the unfinished ones. The ids have the highest bit
+/// set, so that they differ from the ids that the node gives to its own calls.
 #[derive(Clone, Debug)]
 pub struct CallIds {
     next: Rc<Cell<u64>>,
--- a/crates/rpc/src/stream.rs
+++ b/crates/rpc/src/stream.rs
@@ -44,7 +44,8 @@
     pub fn new(poll: &MioPoll, stream: TcpStream) -> io::Result<Self> {
         let state = Rc::new(RefCell::new(StreamState::default()));
         let weak = Rc::downgrade(&state);
-        // Runs inside the I/O poll, so it only wakes the tasks; they read the socket when the pool runs.
+        // Runs inside the I/O poll, so it only wakes the tasks; they read the socket when the pool
+        // runs.
         let ready = Fwd::new(move |_: Ready| {
             if let Some(state) = weak.upgrade() {
                 state.borrow_mut().wake();
