--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! Implements the parts of Consul's published HTTP API that the proxy needs: values with a modify index,
 //! compare-and-swap with `?cas=`, and blocking queries with `?index=` and `?wait=`. All calls block, so
-//! the daemon makes them on separate threads connected by pipes. The operators' program calls directly.
+//! the daemon makes them on separate threads connected by pipes. The operators' program makes them
+//! directly.
 //!
 //! Every call opens a new connection, as calls are rare. On a reused connection that the platform has
 //! closed, a write could fail without showing whether the platform received it.
@@ -52,7 +53,7 @@
     Unreadable { address: SocketAddr, message: String },
 }
 
-/// Client of the platform at one address. The timeout applies to a call without its waiting time.
+/// Client of the platform at one address. For a blocking query, the timeout is added to the waiting time.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     address: SocketAddr,
