--- a/crates/cli/src/matching.rs
+++ b/crates/cli/src/matching.rs
@@ -134,8 +134,8 @@
         };
         let lists = paths.iter().filter_map(|path| dump.pointer(path)?.as_array());
         let sessions: Vec<&Value> = lists.flatten().collect();
-        let open = dump.pointer("/sessions/open").and_then(Value::as_u64).unwrap_or(0);
-        unlisted += (open as usize).saturating_sub(sessions.len());
+        let open_count = dump.pointer("/sessions/open").and_then(Value::as_u64).unwrap_or(0);
+        unlisted += (open_count as usize).saturating_sub(sessions.len());
         for session in sessions {
             let labels = session.get("labels").cloned().unwrap_or_default();
             let Ok(labels) = serde_json::from_value::<LabelSet>(labels) else {
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -174,9 +174,9 @@
     shown: usize,
 ) -> Result<(Vec<NodeAnswer>, Vec<CallerRow>), CommandError> {
     let requested = if query.all { (shown * ROW_OVERSAMPLING).min(MAX_ROWS) } else { shown };
-    let call_query = [("measure", measure.to_string()), ("rows", requested.to_string())];
-    let answers = query.get("/v1/top", &call_query)?;
-    // To an unknown measure every member answers with the same error.
+    let parameters = [("measure", measure.to_string()), ("rows", requested.to_string())];
+    let answers = query.get("/v1/top", &parameters)?;
+    // All members answer an unknown measure with the same error.
     let usage_error = answers.iter().find_map(|answer| {
         answer.result.as_ref().err().filter(|error| error.kind == ErrorKind::Usage)
     });
@@ -222,7 +222,7 @@
     json: bool,
     output: &mut CommandOutput,
 ) -> Result<(), CommandError> {
-    let mut query = vec![("cluster", flags.cluster.clone())];
+    let mut parameters = vec![("cluster", flags.cluster.clone())];
     let others = [
         ("user", &flags.user),
         ("application", &flags.application),
@@ -230,9 +230,9 @@
         ("labels", &flags.labels),
     ];
     for (key, value) in others {
-        query.extend(value.clone().map(|value| (key, value)));
+        parameters.extend(value.clone().map(|value| (key, value)));
     }
-    let answer = call_node(flags.node, "GET", "/v1/explain", &query)?;
+    let answer = call_node(flags.node, "GET", "/v1/explain", &parameters)?;
     if json {
         output.json(&answer);
         return Ok(());
--- a/crates/cli/src/remote.rs
+++ b/crates/cli/src/remote.rs
@@ -55,10 +55,10 @@
     pub(crate) fn get(
         &self,
         path: &str,
-        query: &[(&str, String)],
+        parameters: &[(&str, String)],
     ) -> Result<Vec<NodeAnswer>, CommandError> {
         if !self.all {
-            let value = call_node(self.node, "GET", path, query)?;
+            let value = call_node(self.node, "GET", path, parameters)?;
             let name = value.get("node").and_then(Value::as_str);
             let name = name.map_or_else(|| self.node.to_string(), str::to_string);
             return Ok(vec![NodeAnswer { name, state: None, result: Ok(value) }]);
@@ -77,7 +77,7 @@
                 };
                 let result = match (member.state.as_str(), member.address) {
                     ("dead", _) => Err(CommandError::new(ErrorKind::Failed, "the member is dead")),
-                    (_, Some(address)) => call_node(address, "GET", path, query),
+                    (_, Some(address)) => call_node(address, "GET", path, parameters),
                     (_, None) => {
                         Err(CommandError::new(ErrorKind::Failed, "no admin address is listed"))
                     }
@@ -119,7 +119,7 @@
     address: SocketAddr,
     method: &str,
     path: &str,
-    query: &[(&str, String)],
+    parameters: &[(&str, String)],
 ) -> Result<Value, CommandError> {
     let agent = Agent::config_builder()
         .http_status_as_error(false)
@@ -133,7 +133,7 @@
     let url = format!("http://{address}{path}");
     let answer = match method {
         "POST" => agent.post(url).send_empty(),
-        _ => query
+        _ => parameters
             .iter()
             .fold(agent.get(url), |request, (key, value)| request.query(key, value))
             .call(),
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -87,7 +87,7 @@
 
     /// Replaces the server's address, which differs between runs.
     fn tidy(&self, text: String) -> String {
-        text.replace(&self.address.to_string(), "STAND-IN")
+        text.replace(&self.address.to_string(), "FAKE-SERVER")
     }
 }
 
@@ -117,11 +117,11 @@
             state.index += 1;
             if let WriteFault::Replaced = fault {
                 let mut next: Value = serde_json::from_slice(&body).unwrap();
-                let head = json!({
+                let replaced_change = json!({
                     "revision": next["revision"], "change_id": next["change_id"],
                     "author": next["author"], "written_at": next["written_at"],
                 });
-                next["history"] = json!([head]);
+                next["history"] = json!([replaced_change]);
                 next["revision"] = json!(next["revision"].as_u64().unwrap() + 1);
                 next["change_id"] = json!("successor");
                 body = next.to_string().into_bytes();
