--- a/crates/fake/src/fakedb/control.rs
+++ b/crates/fake/src/fakedb/control.rs
@@ -1,9 +1,10 @@
 //! The group's control port.
 //!
 //! `GET /` returns all databases, `GET /databases/NAME` one, `GET /tables/TABLE` the committed
-//! content of a table. `POST /databases/NAME/{kill,restart,freeze,thaw,cut,join}` does what the
-//! library call of that name does; `POST /databases/NAME/set` takes a JSON object with any of
-//! `receive_ms`, `apply_ms`, `connections`, `slots`, `open_ms` and `service_ms`.
+//! content of a table. `POST /databases/NAME/{kill,restart,freeze,thaw}` does what the method of
+//! [`DatabaseGroup`](super::DatabaseGroup) of that name does; `cut` and `join` disconnect and reconnect
+//! replication. `POST /databases/NAME/set` takes a JSON object with any of `receive_ms`, `apply_ms`,
+//! `connections`, `slots`, `open_ms` and `service_ms`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,8 +44,8 @@
                     "restart" => self.restart(name)?,
                     "freeze" => self.update(name, |state| state.frozen = true)?,
                     "thaw" => self.update(name, |state| state.frozen = false)?,
-                    "cut" => self.update(name, |state| state.cut = true)?,
-                    "join" => self.update(name, |state| state.cut = false)?,
+                    "cut" => self.update(name, |state| state.replication_disconnected = true)?,
+                    "join" => self.update(name, |state| state.replication_disconnected = false)?,
                     "set" => self.set(name, serde_json::from_str(&request.body)?)?,
                     _ => bail!("no action {action}"),
                 }
@@ -77,7 +78,7 @@
             "following": state.following,
             "alive": state.alive,
             "frozen": state.frozen,
-            "cut": state.cut,
+            "cut": state.replication_disconnected,
             "connection_limit": state.connection_limit,
             "slot_limit": state.slot_limit,
             "receive_ms": state.receive_delay.as_secs_f64() * 1e3,
--- a/crates/fake/src/fakedb/engine.rs
+++ b/crates/fake/src/fakedb/engine.rs
@@ -153,10 +153,10 @@
     transaction: &mut Transaction,
     statement: &Statement,
     params: &[Value],
-    backend: i32,
+    process_id: i32,
 ) -> Result<StatementOutcome, ExecError> {
     match statement {
-        Statement::Query(query) => execute_select(state, transaction, query, params, backend),
+        Statement::Query(query) => execute_select(state, transaction, query, params, process_id),
         Statement::Insert(insert) => execute_insert(state, transaction, insert, params),
         Statement::Update(update) => execute_update(state, transaction, update, params),
         Statement::Delete(delete) => execute_delete(state, transaction, delete, params),
--- a/crates/fake/src/fakedb/engine/describe.rs
+++ b/crates/fake/src/fakedb/engine/describe.rs
@@ -128,7 +128,7 @@
     statement: &Statement,
 ) -> Result<(Vec<ColumnType>, Option<Vec<ResultField>>), SqlError> {
     let mut params = BTreeMap::new();
-    let names =
+    let fields_of =
         |columns: Vec<(Expr, ResultField)>| columns.into_iter().map(|(_, field)| field).collect();
     let fields = match statement {
         Statement::Query(query) => {
@@ -151,7 +151,7 @@
                     infer_param_types(expr, None, Some(ColumnType::Int8), &mut params);
                 }
             }
-            Some(names(projection(&select.projection, source.def())?))
+            Some(fields_of(projection(&select.projection, source.def())?))
         }
         Statement::Insert(insert) => {
             let def = find_table(state, transaction, &insert_target(insert)?)?;
@@ -162,7 +162,7 @@
                 }
             }
             let returning = insert.returning.as_ref();
-            returning.map(|items| projection(items, Some(&def))).transpose()?.map(names)
+            returning.map(|items| projection(items, Some(&def))).transpose()?.map(fields_of)
         }
         Statement::Update(update) => {
             let def = target_table(state, transaction, std::slice::from_ref(&update.table))?;
@@ -173,13 +173,13 @@
             }
             infer_condition_params(update.selection.as_ref(), Some(&def), &mut params);
             let returning = update.returning.as_ref();
-            returning.map(|items| projection(items, Some(&def))).transpose()?.map(names)
+            returning.map(|items| projection(items, Some(&def))).transpose()?.map(fields_of)
         }
         Statement::Delete(delete) => {
             let def = target_table(state, transaction, delete_from(delete))?;
             infer_condition_params(delete.selection.as_ref(), Some(&def), &mut params);
             let returning = delete.returning.as_ref();
-            returning.map(|items| projection(items, Some(&def))).transpose()?.map(names)
+            returning.map(|items| projection(items, Some(&def))).transpose()?.map(fields_of)
         }
         Statement::ShowVariable { variable } => {
             let name = variable.iter().map(ident_name).collect::<Vec<_>>().join(".");
--- a/crates/fake/src/fakedb/engine/function.rs
+++ b/crates/fake/src/fakedb/engine/function.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// Tells whether a statement calls an administration function. These take no slot, because a report
-/// must not wait behind the load that it reports on.
+/// Tells whether a statement names an administration function. Such a statement takes no slot, because
+/// a report must not wait behind the load that it reports on.
 pub(crate) fn is_administration(sql: &str) -> bool {
     ["cicadawick_report", "cicadawick_fence", "cicadawick_promote", "cicadawick_follow"]
         .iter()
--- a/crates/fake/src/fakedb/engine/select.rs
+++ b/crates/fake/src/fakedb/engine/select.rs
@@ -97,12 +97,13 @@
     condition: Option<&Expr>,
     params: &[Value],
 ) -> Result<Vec<(RowKey, Row)>, SqlError> {
-    let mut known = BTreeMap::new();
+    let mut equalities = BTreeMap::new();
     if let Some(condition) = condition {
-        collect_equalities(condition, def, params, &mut known)?;
+        collect_equalities(condition, def, params, &mut equalities)?;
     }
     let lookup = |columns: &[usize]| -> Option<RowKey> {
-        (!columns.is_empty()).then(|| columns.iter().map(|at| known.get(at).cloned()).collect())?
+        (!columns.is_empty())
+            .then(|| columns.iter().map(|at| equalities.get(at).cloned()).collect())?
     };
     let holds = |row: &Row| -> Result<bool, SqlError> {
         match condition {
@@ -245,7 +246,7 @@
     transaction: &mut Transaction,
     query: &Query,
     params: &[Value],
-    backend: i32,
+    process_id: i32,
 ) -> Result<StatementOutcome, ExecError> {
     let SetExpr::Select(select) = &*query.body else { Err(unsupported(&query.body))? };
     let source = resolve(state, transaction, &select.from)?;
@@ -255,7 +256,7 @@
     let (offset, limit) = offset_and_limit(query, params)?;
     let mut rows: Vec<Row> = match &source {
         QuerySource::None => {
-            return execute_scalar(state, &columns, fields, empty, backend);
+            return execute_scalar(state, &columns, fields, empty, process_id);
         }
         QuerySource::Function(def, args) => {
             let args = args.iter().map(|arg| eval(arg, empty)).collect::<Result<Vec<_>, _>>()?;
@@ -313,7 +314,7 @@
     columns: &[(Expr, ResultField)],
     fields: Vec<ResultField>,
     scope: EvalScope<'_>,
-    backend: i32,
+    process_id: i32,
 ) -> Result<StatementOutcome, ExecError> {
     let mut row = Vec::new();
     for (expr, _) in columns {
@@ -332,7 +333,7 @@
             "generate_series" if columns.len() == 1 => {
                 return Ok(StatementOutcome::Rows(fields, ResultRows::Series(series(&args()?)?)));
             }
-            "pg_backend_pid" => row.push(Value::Int(i64::from(backend))),
+            "pg_backend_pid" => row.push(Value::Int(i64::from(process_id))),
             "pg_is_in_recovery" => row.push(Value::Bool(state.role == DatabaseRole::Replica)),
             "cicadawick_report" | "cicadawick_fence" | "cicadawick_promote"
             | "cicadawick_follow" => {
--- a/crates/fake/src/fakedb/mod.rs
+++ b/crates/fake/src/fakedb/mod.rs
@@ -8,8 +8,8 @@
 //! does not have.
 //!
 //! A primary that was frozen or cut off still believes that it leads. It accepts commits of its old
-//! term until it is fenced or told to follow, so a proxy needs proof of leadership beyond
-//! the reported role.
+//! term until it is fenced or told to follow, so a proxy needs proof of leadership beyond the
+//! reported role.
 //!
 //! Behaviour that clients may notice:
 //! - Statements wait in arrival order for a slot. A statement that waits for a row lock releases its
@@ -157,7 +157,7 @@
     pub(crate) locks_changed: Condvar,
     /// Notified when the database is frozen, thawed or killed, or a statement is cancelled.
     pub(crate) status_changed: Condvar,
-    pub(crate) group: Arc<GroupSignal>,
+    pub(crate) group_signal: Arc<GroupSignal>,
 }
 
 impl Database {
@@ -259,7 +259,7 @@
                 state: Mutex::new(state),
                 locks_changed: Condvar::new(),
                 status_changed: Condvar::new(),
-                group: signal.clone(),
+                group_signal: signal.clone(),
             }));
             listeners.push(listener);
         }
@@ -332,12 +332,12 @@
 
     /// Disconnects a database from replication, both as leader and as follower.
     pub fn disconnect_replication(&self, name: &str) -> anyhow::Result<()> {
-        self.core.update(name, |state| state.cut = true)
+        self.core.update(name, |state| state.replication_disconnected = true)
     }
 
     /// Reconnects a database to replication.
     pub fn reconnect_replication(&self, name: &str) -> anyhow::Result<()> {
-        self.core.update(name, |state| state.cut = false)
+        self.core.update(name, |state| state.replication_disconnected = false)
     }
 
     /// Sets the delay after a commit until the replica receives it, and from then until it applies it.
@@ -431,7 +431,7 @@
         incarnation: 0,
         alive: true,
         frozen: false,
-        cut: false,
+        replication_disconnected: false,
         connection_limit: options.connections,
         slot_limit: options.slots,
         open_time: options.open_time,
@@ -585,7 +585,7 @@
     fn receive(&self, index: usize, now: Instant) -> Option<Instant> {
         let (term, leader, length, last, delay) = {
             let state = self.databases[index].lock();
-            let is_up = state.alive && !state.frozen && !state.cut;
+            let is_up = state.alive && !state.frozen && !state.replication_disconnected;
             let leader = state.following.clone().filter(|_| is_up)?;
             let last = state.log.last().map(|entry| (entry.term, entry.end));
             (state.term, leader, state.log.len(), last, state.receive_delay)
@@ -594,7 +594,7 @@
         // The two states are never locked at the same time, so no lock order is needed.
         let (entries, diverged) = {
             let state = self.databases[leader_index].lock();
-            let is_up = state.alive && !state.frozen && !state.cut;
+            let is_up = state.alive && !state.frozen && !state.replication_disconnected;
             if !is_up || state.role != DatabaseRole::Primary || state.term != term {
                 return None;
             }
@@ -609,7 +609,7 @@
         let is_same = state.term == term
             && state.following.as_ref() == Some(&leader)
             && state.log.len() == length;
-        if !is_same || !state.alive || state.frozen || state.cut {
+        if !is_same || !state.alive || state.frozen || state.replication_disconnected {
             return Some(now);
         }
         let mut new_entries = entries.as_slice();
--- a/crates/fake/src/fakedb/server.rs
+++ b/crates/fake/src/fakedb/server.rs
@@ -149,15 +149,15 @@
 }
 
 fn read_message(reader: &mut impl Read) -> std::io::Result<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    reader.read_exact(&mut head)?;
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
+    let mut header = [0; 5];
+    reader.read_exact(&mut header)?;
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
     if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(std::io::ErrorKind::InvalidData.into());
     }
     let mut body = vec![0; length - 4];
     reader.read_exact(&mut body)?;
-    Ok((head[0], body))
+    Ok((header[0], body))
 }
 
 /// Performs the start-up handshake; returns the connection's process ID, the incarnation of the
@@ -169,10 +169,10 @@
 ) -> Option<(i32, u64, Arc<AtomicBool>)> {
     let incarnation = database.lock().incarnation;
     loop {
-        let mut head = [0; 8];
-        reader.read_exact(&mut head).ok()?;
-        let length = i32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        let code = i32::from_be_bytes([head[4], head[5], head[6], head[7]]);
+        let mut header = [0; 8];
+        reader.read_exact(&mut header).ok()?;
+        let length = i32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
+        let code = i32::from_be_bytes([header[4], header[5], header[6], header[7]]);
         if !(8..=MAX_MESSAGE_BYTES).contains(&length) {
             return None;
         }
@@ -470,7 +470,7 @@
         };
         self.database.locks_changed.notify_all();
         if result? {
-            self.database.group.notify();
+            self.database.group_signal.notify();
         }
         Ok("COMMIT")
     }
@@ -701,7 +701,7 @@
                     // If the leader is reachable, discards at once the entries that it does not have.
                     self.core.replicate_once(self.database_index);
                     self.database.wake_all();
-                    self.database.group.notify();
+                    self.database.group_signal.notify();
                     let rows = vec![vec![Value::text("t")]].into_iter();
                     return Ok((StatementOutcome::Rows(fields, ResultRows::List(rows)), slot));
                 }
@@ -710,7 +710,7 @@
                     if !takes_slot {
                         // A fence or promotion may have released locks and opened a term.
                         self.database.locks_changed.notify_all();
-                        self.database.group.notify();
+                        self.database.group_signal.notify();
                     }
                     return Ok((outcome, slot));
                 }
--- a/crates/fake/src/fakedb/store.rs
+++ b/crates/fake/src/fakedb/store.rs
@@ -193,7 +193,7 @@
     pub(crate) incarnation: u64,
     pub(crate) alive: bool,
     pub(crate) frozen: bool,
-    pub(crate) cut: bool,
+    pub(crate) replication_disconnected: bool,
 
     pub(crate) connection_limit: u32,
     pub(crate) slot_limit: u32,
--- a/crates/fake/src/fakedb/value.rs
+++ b/crates/fake/src/fakedb/value.rs
@@ -39,7 +39,7 @@
         matches!(self, Value::Null)
     }
 
-    fn order(&self) -> u8 {
+    fn type_order(&self) -> u8 {
         match self {
             Value::Bool(_) => 0,
             Value::Int(_) | Value::Float(_) => 1,
@@ -93,7 +93,7 @@
             (Value::Time(left), Value::Time(right)) => left.cmp(right),
             (Value::Text(left), Value::Text(right)) => left.cmp(right),
             (Value::Bytes(left), Value::Bytes(right)) => left.cmp(right),
-            _ => match (self.order(), other.order()) {
+            _ => match (self.type_order(), other.type_order()) {
                 (1, 1) => {
                     let left = self.as_float().unwrap_or_default();
                     left.total_cmp(&other.as_float().unwrap_or_default())
--- a/crates/fake/src/fakeplatform.rs
+++ b/crates/fake/src/fakeplatform.rs
@@ -119,8 +119,8 @@
     list_lag: Duration,
     answer_delay: Duration,
     outage: OutageMode,
-    lose_next: u64,
-    lose_share: f64,
+    answers_to_drop: u64,
+    dropped_share: f64,
     random: SeededRandom,
     counters: CallCounters,
     stopping: bool,
@@ -157,13 +157,13 @@
 
     fn end_session(&mut self, id: &str) {
         let Some(session) = self.sessions.remove(id) else { return };
-        let held: Vec<String> = self
+        let locked_keys: Vec<String> = self
             .entries
             .iter()
             .filter(|(_, entry)| entry.session.as_deref() == Some(id))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in held {
+        for key in locked_keys {
             if session.deletes_keys {
                 self.remove(&key);
             } else {
@@ -214,12 +214,12 @@
 
     /// Decides whether the answer to a change is dropped.
     fn drops_answer(&mut self) -> bool {
-        // Draws for every change, so that a seed gives the same losses in every run.
-        let by_share = self.random.unit() < self.lose_share;
-        let is_lost = self.lose_next > 0 || by_share;
-        self.lose_next = self.lose_next.saturating_sub(1);
-        self.counters.lost += u64::from(is_lost);
-        is_lost
+        // Draws for every change, so that a seed drops the same answers in every run.
+        let by_share = self.random.unit() < self.dropped_share;
+        let is_dropped = self.answers_to_drop > 0 || by_share;
+        self.answers_to_drop = self.answers_to_drop.saturating_sub(1);
+        self.counters.lost += u64::from(is_dropped);
+        is_dropped
     }
 }
 
@@ -278,7 +278,7 @@
             }
         });
         let shared = core.clone();
-        let timer_thread = std::thread::spawn(move || shared.apply_due_changes());
+        let timer_thread = std::thread::spawn(move || shared.run_timer());
         let threads = vec![request_thread, timer_thread];
         Ok(FakePlatform { core, server, control_address, threads })
     }
@@ -334,13 +334,13 @@
     /// Drops the answers to the next `count` changes (PUT and DELETE): the change takes effect and the
     /// connection closes without an answer.
     pub fn drop_next_answers(&self, count: u64) {
-        self.core.change(|store| store.lose_next = count);
+        self.core.change(|store| store.answers_to_drop = count);
     }
 
     /// Drops the answers to a share (0 to 1) of all changes; the seed determines which ones.
     pub fn drop_answers_by_share(&self, share: f64, seed: u64) {
         self.core.change(|store| {
-            store.lose_share = share;
+            store.dropped_share = share;
             store.random = SeededRandom::new(seed);
         });
     }
@@ -482,7 +482,7 @@
     }
 
     /// Expires sessions and applies VM changes as they become due, until the platform stops.
-    fn apply_due_changes(&self) {
+    fn run_timer(&self) {
         let mut store = self.lock();
         while !store.stopping {
             let before = store.index;
@@ -537,12 +537,12 @@
         let answer = match self.call(&method, &target, body) {
             Ok(answer) | Err(answer) => answer,
         };
-        let (answer_delay, is_lost) = {
+        let (answer_delay, is_dropped) = {
             let mut store = self.lock();
             (store.answer_delay, answer.is_change && store.drops_answer())
         };
         std::thread::sleep(answer_delay);
-        if is_lost && let Some(client) = request.remote_addr().copied() {
+        if is_dropped && let Some(client) = request.remote_addr().copied() {
             // Closes the relayed connection, so the answer does not arrive.
             self.link.drop_connection(client);
         }
@@ -770,8 +770,8 @@
                 self.change(|store| {
                     store.list_lag = change.list_lag_ms.map_or(store.list_lag, time);
                     store.answer_delay = change.slow_ms.map_or(store.answer_delay, time);
-                    store.lose_next = change.lose_next.unwrap_or(store.lose_next);
-                    store.lose_share = change.lose_share.unwrap_or(store.lose_share);
+                    store.answers_to_drop = change.lose_next.unwrap_or(store.answers_to_drop);
+                    store.dropped_share = change.lose_share.unwrap_or(store.dropped_share);
                     store.random = change.lose_seed.map_or(store.random, SeededRandom::new);
                 });
                 if let Some(mode) = change.outage {
@@ -786,8 +786,8 @@
             "list_lag_ms": store.list_lag.as_secs_f64() * 1e3,
             "slow_ms": store.answer_delay.as_secs_f64() * 1e3,
             "outage": store.outage,
-            "lose_next": store.lose_next,
-            "lose_share": store.lose_share,
+            "lose_next": store.answers_to_drop,
+            "lose_share": store.dropped_share,
             "keys": store.entries.keys().collect::<Vec<_>>(),
             "vms": store.vms.values().collect::<Vec<_>>(),
         }))
--- a/crates/fake/src/faultproxy.rs
+++ b/crates/fake/src/faultproxy.rs
@@ -1,7 +1,7 @@
 //! A TCP relay that injects faults which are set at run time.
 //!
 //! Each link listens on its own port and relays to one upstream. Bytes can be delayed, discarded (cut)
-//! or limited to a number, for each link and direction, and a whole link can be frozen. A connection
+//! or limited to a number, for each link and direction. A frozen link holds all bytes back. A connection
 //! that lost bytes to a cut stays open but relays nothing more in that direction: TCP never delivers
 //! a stream with a gap, so neither does the relay.
 
@@ -222,8 +222,7 @@
         self.changed.notify_all();
     }
 
-    /// Closes the connection whose upstream side has the address `local`; returns whether there is
-    /// one.
+    /// Closes the connection whose upstream side has the address `local`; returns whether it was found.
     pub(crate) fn drop_connection(&self, local: SocketAddr) -> bool {
         let mut state = self.lock();
         let found = state.connections.iter().find_map(|(number, connection)| {
@@ -511,7 +510,7 @@
         to_upstream: Duration,
         to_caller: Duration,
     ) -> anyhow::Result<()> {
-        self.core.faults(link, |faults| {
+        self.core.change_faults(link, |faults| {
             faults[Direction::ToUpstream as usize].delay = to_upstream;
             faults[Direction::ToCaller as usize].delay = to_caller;
         })
@@ -520,7 +519,7 @@
     /// Discards bytes in the given directions, or stops doing so. Connections that lost bytes relay
     /// nothing more in that direction.
     pub fn set_cut(&self, link: &str, to_upstream: bool, to_caller: bool) -> anyhow::Result<()> {
-        self.core.faults(link, |faults| {
+        self.core.change_faults(link, |faults| {
             faults[Direction::ToUpstream as usize].cut = to_upstream;
             faults[Direction::ToCaller as usize].cut = to_caller;
         })
@@ -547,7 +546,7 @@
     /// that carried the last one. It closes with a FIN, because a reset could discard bytes that
     /// should still arrive. With 0, the next byte or end of stream closes a connection.
     pub fn limit_bytes(&self, link: &str, direction: Direction, bytes: u64) -> anyhow::Result<()> {
-        self.core.faults(link, |faults| faults[direction as usize].bytes_left = Some(bytes))
+        self.core.change_faults(link, |faults| faults[direction as usize].bytes_left = Some(bytes))
     }
 
     /// Limits only the connection that first carries `marker` to the upstream within one read. Bytes
@@ -622,7 +621,7 @@
         found.map(|(_, link)| link).with_context(|| format!("no link is named {name}"))
     }
 
-    fn faults(
+    fn change_faults(
         &self,
         name: &str,
         change: impl FnOnce(&mut [DirectionFaults; 2]),
@@ -658,7 +657,7 @@
 
     fn set(&self, name: &str, change: &LinkChange) -> anyhow::Result<()> {
         let time = |millis: f64| Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1e3);
-        self.faults(name, |faults| {
+        self.change_faults(name, |faults| {
             let [to_upstream, to_caller] = faults;
             to_upstream.delay = change.delay_to_upstream_ms.map_or(to_upstream.delay, time);
             to_caller.delay = change.delay_to_caller_ms.map_or(to_caller.delay, time);
--- a/crates/fake/src/loadgen.rs
+++ b/crates/fake/src/loadgen.rs
@@ -24,7 +24,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Pause between two attempts to connect.
-const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Interval between updates of the row that the age check reads.
 const AGE_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
@@ -541,8 +541,9 @@
     Ok(())
 }
 
-/// Updates the row of the age check until the run ends. A failed update closes the connection. Its
-/// value may or may not be visible; the check allows both, because the value is not in the log.
+/// Updates the row of the age check until the run ends. After a failed update, a new connection is
+/// opened. The value of that update may or may not be visible; the check allows both, because the
+/// value is not in the log.
 fn run_age_updates(state: &RunState, address: SocketAddr) {
     let mut client: Option<Client> = None;
     let mut mark = 0;
@@ -624,7 +625,7 @@
                 Ok(client) => self.client = Some(client),
                 Err(error) => {
                     *self.figures.connect_errors.entry(error_code(&error)).or_default() += 1;
-                    std::thread::sleep(RECONNECT_DELAY);
+                    std::thread::sleep(RECONNECT_BACKOFF);
                 }
             }
         }
--- a/crates/fake/src/port.rs
+++ b/crates/fake/src/port.rs
@@ -4,9 +4,10 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// A bound socket that does not listen. The kernel gives its port to no other socket, but a process can listen
-/// on it, because both set `SO_REUSEADDR`. A listener that is closed just before the process starts is not
-/// enough: processes that other threads start at that moment inherit it, and a connection may take its port.
+/// A bound socket that does not listen. The kernel assigns its port to no other socket, but a process can
+/// listen on the port, because both set `SO_REUSEADDR`. A listener that is closed just before the process
+/// starts is not enough: processes that other threads start at that moment inherit it, and a connection
+/// may take its port.
 ///
 /// ```
 /// let reservation = fake::port::PortReservation::new()?;
--- a/crates/fake/tests/platform_and_links.rs
+++ b/crates/fake/tests/platform_relay_load.rs
@@ -144,7 +144,7 @@
     assert_eq!(client.get("/kv/key").unwrap().0, 200);
     assert!(start.elapsed() >= Duration::from_millis(40));
 
-    // The same seed loses the same answers.
+    // The same seed drops the same answers.
     platform.set_answer_delay(Duration::ZERO);
     let mut lost = Vec::new();
     for _ in 0..2 {
