--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -241,11 +241,11 @@
         self.scheduled.insert((self.now + after, self.sequence), event);
     }
 
-    /// Runs a part of the node's work and adds its processor time, allocations and held bytes.
-    fn measure_node<T>(&mut self, work: impl FnOnce(&mut Node) -> T) -> T {
+    /// Runs `step` on the node and adds its processor time, allocations and held bytes to the counts.
+    fn measure_node<T>(&mut self, step: impl FnOnce(&mut Node) -> T) -> T {
         let (allocations, held, time) =
             (meter::allocations(), meter::held_bytes(), meter::thread_time());
-        let result = work(&mut self.node);
+        let result = step(&mut self.node);
         self.count.processor_time += meter::thread_time().saturating_sub(time);
         self.count.allocations += meter::allocations() - allocations;
         self.count.held_bytes += meter::held_bytes() - held;
@@ -374,10 +374,10 @@
             }
             NodeAction::WriteRecord { cluster, expected_index, bytes } => {
                 self.count_exchange("platform", 500, 300);
-                let held = self.records.get(&cluster).map_or(0, |(_, index)| *index);
-                let applied = held == expected_index;
+                let stored_index = self.records.get(&cluster).map_or(0, |(_, index)| *index);
+                let applied = stored_index == expected_index;
                 if applied {
-                    self.records.insert(cluster.clone(), (bytes, held + 1));
+                    self.records.insert(cluster.clone(), (bytes, stored_index + 1));
                 }
                 let answer = PlatformAnswer::RecordWritten { cluster, applied };
                 self.schedule(
@@ -441,23 +441,23 @@
                 let interval = Micros(config.heartbeat_interval.0 * rounds);
                 self.schedule(interval, ScheduledEvent::Heartbeat(sender));
             }
-            ScheduledEvent::ConfigChange(every) => {
+            ScheduledEvent::ConfigChange(interval) => {
                 self.config_revision += 1;
                 for sender in self.senders.clone() {
                     self.deliver_heartbeat(sender, Vec::new(), self.config_revision);
                 }
-                self.schedule(Micros(every), ScheduledEvent::ConfigChange(every));
+                self.schedule(Micros(interval), ScheduledEvent::ConfigChange(interval));
             }
-            ScheduledEvent::MemberRestart(every) => {
-                let place = 1 + (self.sequence as usize * 7) % (self.members.len() - 1);
-                self.members[place].incarnation += 1;
-                let mut info = self.members[place].clone();
+            ScheduledEvent::MemberRestart(interval) => {
+                let index = 1 + (self.sequence as usize * 7) % (self.members.len() - 1);
+                self.members[index].incarnation += 1;
+                let mut info = self.members[index].clone();
                 // The member table stores the start time above 12 bits for refutations.
                 info.incarnation <<= 12;
                 for sender in self.senders.clone() {
                     self.deliver_heartbeat(sender, vec![info.clone()], 0);
                 }
-                self.schedule(Micros(every), ScheduledEvent::MemberRestart(every));
+                self.schedule(Micros(interval), ScheduledEvent::MemberRestart(interval));
             }
         }
     }
@@ -505,10 +505,10 @@
         .take(OBSERVER_COUNT)
         .collect();
     if role == ControlRole::Watcher {
-        for place in 0..DATA_CENTRE_COUNT {
-            let place = format!("north-{place}");
-            if place != own.data_centre.as_str() {
-                senders.extend(members.iter().position(|info| info.data_centre.as_str() == place));
+        for index in 0..DATA_CENTRE_COUNT {
+            let other = format!("north-{index}");
+            if other != own.data_centre.as_str() {
+                senders.extend(members.iter().position(|info| info.data_centre.as_str() == other));
             }
         }
     }
@@ -572,17 +572,17 @@
         revision: 1,
         bytes: keys.into(),
     });
-    for (place, sender) in bench.senders.clone().into_iter().enumerate() {
-        bench.schedule(Micros::from_millis(90 * place as u64), ScheduledEvent::Heartbeat(sender));
+    for (index, sender) in bench.senders.clone().into_iter().enumerate() {
+        bench.schedule(Micros::from_millis(90 * index as u64), ScheduledEvent::Heartbeat(sender));
     }
     bench.run_for(WARM_UP);
     let held_bytes = bench.count.held_bytes;
     bench.count = ControlCount { held_bytes, owned_databases, ..ControlCount::default() };
-    if let Some(every) = load.config_interval {
-        bench.schedule(every, ScheduledEvent::ConfigChange(every.0));
+    if let Some(interval) = load.config_interval {
+        bench.schedule(interval, ScheduledEvent::ConfigChange(interval.0));
     }
-    if let Some(every) = load.restart_interval {
-        bench.schedule(every, ScheduledEvent::MemberRestart(every.0));
+    if let Some(interval) = load.restart_interval {
+        bench.schedule(interval, ScheduledEvent::MemberRestart(interval.0));
     }
     if load.promotion {
         for index in (0..database_count).filter(|index| index % DATABASES_PER_CLUSTER == 0) {
@@ -650,7 +650,8 @@
     request_count as f64 / (end.saturating_sub(start).0 as f64 / 1e6)
 }
 
-/// Measures the control work of each role and renders tables. The idle runs take 300 s of virtual time.
+/// Measures the control traffic and resources of each role and renders tables. The idle runs take
+/// 300 s of virtual time.
 ///
 /// # Errors
 ///
@@ -759,12 +760,12 @@
         "one change", "members", "databases", "messages", "sent B", "recv B", "allocs", "cpu us"
     );
     let span = Micros::from_secs(200);
-    let every = Micros::from_secs(10);
+    let interval = Micros::from_secs(10);
     for size in FLEET_SIZES {
         let idle =
             count_least_disturbed(wire, size, ControlRole::Owner, ControlLoad::default(), span);
-        let config = ControlLoad { config_interval: Some(every), ..ControlLoad::default() };
-        let member = ControlLoad { restart_interval: Some(every), ..ControlLoad::default() };
+        let config = ControlLoad { config_interval: Some(interval), ..ControlLoad::default() };
+        let member = ControlLoad { restart_interval: Some(interval), ..ControlLoad::default() };
         let promotion = ControlLoad { promotion: true, ..ControlLoad::default() };
         for (name, load, changes) in [
             ("configuration change", config, 20.0),
--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -71,8 +71,8 @@
     start.elapsed().as_nanos() as f64 / turns as f64
 }
 
-/// Measures enqueue, grant and finish in one of `databases` queues, in each of which one request of each
-/// of `callers` callers waits.
+/// Measures enqueue, grant and finish in one of `databases` queues. One request of each of `callers`
+/// callers waits in every queue.
 fn measure_queue(databases: usize, callers: usize, turns: usize) -> f64 {
     let callers = names("caller", callers);
     let rank = RankConfig { floor_percent: 10, queue_limit: 1_000_000 };
@@ -106,7 +106,7 @@
 }
 
 /// Returns a configuration with 20 selectors and `callers` label rules, each of which matches one user.
-fn selectors(callers: usize) -> FleetConfig {
+fn fleet_config(callers: usize) -> FleetConfig {
     let matches = |text: String| text.parse::<LabelSelector>().unwrap_or_default();
     FleetConfig {
         callers: (0..callers)
@@ -133,7 +133,7 @@
 /// Measures the choice of a policy among 20 selectors of which the last matches. Each caller has its own
 /// labels.
 fn measure_policy(callers: usize, turns: usize) -> f64 {
-    let table = SelectorTable::compile(&selectors(0));
+    let table = SelectorTable::compile(&fleet_config(0));
     let labels: Vec<LabelSet> = names("caller", callers)
         .iter()
         .map(|user| LabelSet::from_pairs([("kind", "kiosk"), ("work", "w19"), ("user", user)]))
@@ -145,7 +145,7 @@
 
 /// Measures the labelling of a new session with `callers` label rules.
 fn measure_caller_labels(callers: usize, turns: usize) -> f64 {
-    let table = SelectorTable::compile(&selectors(callers));
+    let table = SelectorTable::compile(&fleet_config(callers));
     let attributes = LabelSet::from_pairs([("user", "caller-0"), ("address", "10.0.0.1")]);
     measure(turns, |_| {
         black_box(table.caller_labels(black_box(&attributes)));
@@ -154,7 +154,7 @@
 
 /// Measures the choice among the databases of one cluster.
 fn measure_choice(databases: usize, turns: usize) -> f64 {
-    let table = SelectorTable::compile(&selectors(0));
+    let table = SelectorTable::compile(&fleet_config(0));
     let labels = LabelSet::from_pairs([("kind", "kiosk"), ("work", "w0")]);
     let policy = table.policy(&labels);
     let hints: Vec<DatabaseHint> = names("db", databases)
--- a/crates/bench/src/rank.rs
+++ b/crates/bench/src/rank.rs
@@ -11,7 +11,7 @@
 use admit::{QueueConfig, RequestId, SlotQueue, SlotRequest};
 use model::{Micros, Name, Rank, RankConfig, RankMap, SeededRandom};
 
-/// Numbers of slots of a database at the two users.
+/// Numbers of slots of a database in the installations of both users.
 pub const SLOT_COUNTS: [u32; 2] = [2, 5];
 /// Maximum number of waiting requests of each rank; the plain queue holds three times as many.
 pub(crate) const QUEUE_LIMIT: u32 = 1_024;
@@ -176,11 +176,11 @@
         match self {
             QueueUnderTest::Ranked(queue) => queue.enqueue(now, slot_request).is_ok(),
             QueueUnderTest::Plain { waiting, .. } => {
-                let room = waiting.len() < 3 * QUEUE_LIMIT as usize;
-                if room {
+                let has_room = waiting.len() < 3 * QUEUE_LIMIT as usize;
+                if has_room {
                     waiting.push_back(slot_request.request);
                 }
-                room
+                has_room
             }
         }
     }
--- a/crates/bench/src/share.rs
+++ b/crates/bench/src/share.rs
@@ -5,12 +5,13 @@
 //!
 //! - **equal**: each proxy has a ninth of the slots and connections, and at least one of each;
 //! - **lent**: each slot belongs to one proxy at a time, with a part of the connections. A proxy without
-//!   a free slot asks the others in turn. One that has a free slot, or only less urgent requests, lends a slot;
+//!   a free slot asks the others in turn. One that has a free slot, or only less urgent requests, lends
+//!   a slot;
 //! - **owner**: one proxy has all slots and connections; the others forward their requests to it.
 //!
-//! Each holder of slots orders its requests with a [`SlotQueue`], so the designs differ only in which proxy
-//! holds the slots. The database executes at most its number of slots at once and queues further statements in
-//! order of arrival. A new connection takes [`OPEN_TIME`].
+//! Each holder of slots orders its requests with a [`SlotQueue`], so the designs differ only in which
+//! proxy holds the slots. The database executes at most its number of slots at once and queues further
+//! statements in order of arrival. A new connection takes [`OPEN_TIME`].
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -62,7 +63,7 @@
     pub hop: Micros,
 }
 
-/// Sizes of both users (section 1.4 of the design page).
+/// Sizes of the databases of both users (section 1.4 of the design page).
 pub const SHARE_SIZES: [ShareSize; 2] = [
     ShareSize { slots: 2, connections: 16, hop: Micros(500) },
     ShareSize { slots: 5, connections: 55, hop: Micros(1_400) },
@@ -118,7 +119,8 @@
     /// Whether an answer to a slot request or the end of [`ASK_BACKOFF`] is awaited.
     awaiting_slot: bool,
     next_peer: usize,
-    declined: usize,
+    /// Number of declined slot requests since this holder last got a slot or last paused.
+    decline_count: usize,
     /// Holders to which a slot was promised as soon as one is free, with the rank of their request.
     promised: VecDeque<(usize, Rank)>,
     /// Time of the earliest scheduled [`ShareEvent::Expire`].
@@ -152,11 +154,14 @@
     /// Statements that wait in the database for a slot.
     backlog: VecDeque<usize>,
     executing: u32,
-    sent: u32,
+    /// Statements in the database, executing or waiting.
+    statement_count: u32,
     waits: Vec<Micros>,
     messages: u64,
     connections: u32,
+    /// Slot time in use while requests wait.
     busy: u64,
+    /// Slot time of all slots while requests wait.
     contended: u64,
     outcome: ShareOutcome,
 }
@@ -192,7 +197,7 @@
         idle: 0,
         awaiting_slot: false,
         next_peer: (holder + 1) % PROXY_COUNT,
-        declined: 0,
+        decline_count: 0,
         promised: VecDeque::new(),
         next_expiry_event: None,
     });
@@ -210,7 +215,7 @@
         end: experiment.streams.iter().map(|stream| stream.until).max().unwrap_or_default(),
         backlog: VecDeque::new(),
         executing: 0,
-        sent: 0,
+        statement_count: 0,
         messages: 0,
         connections: 0,
         busy: 0,
@@ -233,9 +238,9 @@
             self.schedule(self.requests[request].arrives, ShareEvent::Arrived { request });
         }
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            let waits = !self.backlog.is_empty()
+            let has_waiting = !self.backlog.is_empty()
                 || self.holders.iter().any(|holder| holder.waiting.0 != [0; 3]);
-            if waits && self.now >= self.experiment.warm_up && at <= self.end {
+            if has_waiting && self.now >= self.experiment.warm_up && at <= self.end {
                 let elapsed = (at - self.now).0;
                 self.busy += u64::from(self.executing) * elapsed;
                 self.contended += u64::from(self.size.slots) * elapsed;
@@ -315,19 +320,19 @@
             ShareEvent::SlotRequest { from, to, rank } => self.handle_slot_request(from, to, rank),
             ShareEvent::Lent { to } => {
                 let holder = &mut self.holders[to];
-                (holder.awaiting_slot, holder.declined) = (false, 0);
+                (holder.awaiting_slot, holder.decline_count) = (false, 0);
                 self.set_slots(to, self.holders[to].slots + 1);
                 self.advance_holder(to);
             }
             ShareEvent::Declined { to } => {
                 let holder = &mut self.holders[to];
-                holder.declined += 1;
+                holder.decline_count += 1;
                 holder.next_peer = (holder.next_peer + 1) % PROXY_COUNT;
-                if holder.declined < PROXY_COUNT - 1 {
+                if holder.decline_count < PROXY_COUNT - 1 {
                     holder.awaiting_slot = false;
                     self.borrow_slot(to);
                 } else {
-                    holder.declined = 0;
+                    holder.decline_count = 0;
                     self.schedule(self.now + ASK_BACKOFF, ShareEvent::RetryRequest { holder: to });
                 }
             }
@@ -340,13 +345,13 @@
 
     fn enqueue(&mut self, request: usize) {
         let index = self.holder_of(request);
-        let (drawn, rank) = (&self.requests[request], self.rank_of(request));
-        let stream = &self.experiment.streams[drawn.stream];
-        let deadline = drawn.arrives + stream.deadline;
+        let (generated, rank) = (&self.requests[request], self.rank_of(request));
+        let stream = &self.experiment.streams[generated.stream];
+        let deadline = generated.arrives + stream.deadline;
         let slot_request = SlotRequest {
             request: RequestId(request as u64),
             rank,
-            caller: drawn.caller.clone(),
+            caller: generated.caller.clone(),
             deadline: deadline.saturating_sub(self.forwarding_delay(request)),
             selector: stream.selector.into(),
             in_transaction: false,
@@ -401,8 +406,8 @@
 
     /// Sends a statement to the database.
     fn send_statement(&mut self, request: usize) {
-        self.sent += 1;
-        self.outcome.slots_highest = self.outcome.slots_highest.max(self.sent);
+        self.statement_count += 1;
+        self.outcome.slots_highest = self.outcome.slots_highest.max(self.statement_count);
         if self.executing < self.size.slots {
             self.execute(request);
         } else {
@@ -419,21 +424,21 @@
 
     fn finish(&mut self, request: usize) {
         self.executing -= 1;
-        self.sent -= 1;
+        self.statement_count -= 1;
         if let Some(next) = self.backlog.pop_front() {
             self.execute(next);
         }
         let forwarding_delay = self.forwarding_delay(request);
         self.messages += u64::from(forwarding_delay > Micros::ZERO);
         if self.is_counted(request) {
-            let drawn = &self.requests[request];
-            let deadline = drawn.arrives + self.experiment.streams[drawn.stream].deadline;
+            let generated = &self.requests[request];
+            let deadline = generated.arrives + self.experiment.streams[generated.stream].deadline;
             let rank = self.rank_of(request);
             let rank = &mut self.outcome.ranks[rank];
             rank.in_time += u64::from(self.now + forwarding_delay <= deadline);
             rank.waits.push(self.waits[request]);
             if self.now <= self.end {
-                rank.share += drawn.service.0 as f64;
+                rank.share += generated.service.0 as f64;
             }
         }
         let index = self.holder_of(request);
@@ -476,16 +481,16 @@
         self.send(ShareEvent::SlotRequest { from: index, to, rank });
     }
 
-    /// Tells whether a holder may lend a slot: only if no request at least as urgent
-    /// as `rank` waits there.
+    /// Tells whether a holder may lend a slot: only if no request at least as urgent as `rank` waits
+    /// there.
     fn may_lend(&self, index: usize, rank: Rank) -> bool {
         self.waiting_rank(index).is_none_or(|own| own > rank)
     }
 
     fn handle_slot_request(&mut self, from: usize, to: usize, rank: Rank) {
         let holder = &self.holders[to];
-        let left = holder.slots as usize > holder.promised.len();
-        if !left || !self.may_lend(to, rank) {
+        let has_unpromised_slot = holder.slots as usize > holder.promised.len();
+        if !has_unpromised_slot || !self.may_lend(to, rank) {
             self.send(ShareEvent::Declined { to: from });
         } else if holder.running < holder.slots {
             self.lend(to, from);
@@ -498,9 +503,9 @@
     /// connection; the remaining connections are divided among the slots.
     fn lend(&mut self, index: usize, to: usize) {
         self.set_slots(index, self.holders[index].slots - 1);
-        let each = (self.size.connections - PROXY_COUNT as u32) / self.size.slots;
+        let connections_per_slot = (self.size.connections - PROXY_COUNT as u32) / self.size.slots;
         let holder = &mut self.holders[index];
-        let limit = 1 + each * holder.slots;
+        let limit = 1 + connections_per_slot * holder.slots;
         let closed = holder.connections.saturating_sub(limit).min(holder.idle);
         holder.idle -= closed;
         holder.connections -= closed;
--- a/crates/bench/src/wire.rs
+++ b/crates/bench/src/wire.rs
@@ -112,15 +112,15 @@
     let counts = Arc::new([RelayCount::default(), RelayCount::default()]);
     let shared = counts.clone();
     let relaying = std::thread::spawn(move || -> std::io::Result<()> {
-        let (caller, _) = relay.accept()?;
-        let callee = TcpStream::connect(server_address)?;
-        for stream in [&caller, &callee] {
+        let (client, _) = relay.accept()?;
+        let upstream = TcpStream::connect(server_address)?;
+        for stream in [&client, &upstream] {
             stream.set_nodelay(true)?;
         }
-        let (from, to) = (callee.try_clone()?, caller.try_clone()?);
+        let (from, to) = (upstream.try_clone()?, client.try_clone()?);
         let answers = shared.clone();
         let back = std::thread::spawn(move || answers[1].relay(from, to));
-        shared[0].relay(caller, callee);
+        shared[0].relay(client, upstream);
         // A panic of the relay would appear as a call without an answer.
         let _ = back.join();
         Ok(())
@@ -134,10 +134,10 @@
     let mut accepted = false;
     let before = Rc::new(Cell::new((0, 0)));
     for call in 0..=CALL_COUNT {
-        let done = Rc::new(RefCell::new(None));
-        let slot = done.clone();
+        let result = Rc::new(RefCell::new(None));
+        let callback_result = result.clone();
         clients.heartbeat(&mut stakker, relay_address, heartbeat, CALL_TIMEOUT, move |answer| {
-            *slot.borrow_mut() = Some(answer);
+            *callback_result.borrow_mut() = Some(answer);
         });
         let mut trailing_until = None;
         let end = Instant::now() + CALL_TIMEOUT;
@@ -157,14 +157,14 @@
                 let stream = RpcStream::new(&poll, stream)?;
                 serve_peer(&pool, stream, requests, CallIds::default());
             }
-            if done.borrow().is_some() && trailing_until.is_none() {
+            if result.borrow().is_some() && trailing_until.is_none() {
                 trailing_until = Some(Instant::now() + TRAILING_TIME);
             }
             if Instant::now() > end {
                 bail!("a heartbeat on the loopback interface was not answered");
             }
         }
-        if let Some(Err(error)) = done.take() {
+        if let Some(Err(error)) = result.take() {
             return Err(error).context("a heartbeat on the loopback interface failed");
         }
         if call == 0 {
--- a/crates/bench/tests/control.rs
+++ b/crates/bench/tests/control.rs
@@ -1,5 +1,5 @@
-//! Bounds of the control work of a node. Guards against messages that grow with the fleet, and against
-//! heartbeats and reports beyond the targets for a node.
+//! Bounds on the control traffic and memory of a node. Guards against messages that grow with the fleet,
+//! and against heartbeats and reports beyond the targets for a node.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,7 +11,7 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Targets for the control work of a node.
+/// Targets for the control traffic and memory of a node.
 const MAX_BYTES_PER_SECOND: f64 = 4_096.0;
 const MAX_HELD_BYTES: i64 = 256 << 20;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn idle_control_work_is_within_the_targets() {
+fn idle_control_traffic_and_memory_are_within_the_targets() {
     let wire = WireSizes::measure().unwrap();
     for role in [ControlRole::Entry, ControlRole::Owner, ControlRole::Watcher] {
         let count = idle(&wire, TARGET_SIZE, role);
--- a/crates/bench/tests/rank.rs
+++ b/crates/bench/tests/rank.rs
@@ -48,8 +48,11 @@
                     share >= min_share - quantum,
                     "{slots} slots, seed {seed}, {rank}: {share}"
                 );
-                let late = plain.ranks[rank].in_time_share();
-                assert!(ranked.ranks[rank].in_time_share() > late, "{rank}: plain {late}");
+                let plain_share = plain.ranks[rank].in_time_share();
+                assert!(
+                    ranked.ranks[rank].in_time_share() > plain_share,
+                    "{rank}: plain {plain_share}"
+                );
             }
         }
     }
--- a/crates/bench/tests/share.rs
+++ b/crates/bench/tests/share.rs
@@ -1,4 +1,4 @@
-//! Bounds on the sharing of one database by nine proxies: the pool owner against both alternatives.
+//! Bounds on the sharing of one database by nine proxies: the owner design against both alternatives.
 
 use bench::rank::{LoadMix, MIN_SHARES, NORMAL, RankExperiment, steady};
 use bench::share::{
